--- a/coordination/configwatch/configwatch.go
+++ b/coordination/configwatch/configwatch.go
@@ -22,8 +22,8 @@
 	Withdraw(keyID string, atUnixMilli int64) bool
 }
 
-// Log holds the documents in force. It is safe for concurrent use.
-type Log struct {
+// DocumentSet holds the documents in force. It is safe for concurrent use.
+type DocumentSet struct {
 	mu        sync.Mutex
 	target    Target
 	revision  int64  // every document up to it is known
@@ -35,8 +35,8 @@
 }
 
 // New returns an empty log that feeds target.
-func New(target Target) *Log {
-	return &Log{target: target, documents: make(map[string]Document), rejected: make(map[string]string)}
+func New(target Target) *DocumentSet {
+	return &DocumentSet{target: target, documents: make(map[string]Document), rejected: make(map[string]string)}
 }
 
 // Batch is what a source knows: every document after one rank up to another.
@@ -52,7 +52,7 @@
 // without that check: a peer's answer to an earlier incarnation, or a partial
 // list, skips documents for good, because a watch from the watermark never shows
 // them again.
-func (l *Log) Offer(b Batch) int {
+func (l *DocumentSet) Offer(b Batch) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count := 0
@@ -67,7 +67,7 @@
 	return count
 }
 
-func (l *Log) accept(d Document) bool {
+func (l *DocumentSet) accept(d Document) bool {
 	current, known := l.documents[d.Key]
 	if known && compare(&current, &d) >= 0 {
 		l.move(current, d)
@@ -85,7 +85,7 @@
 
 // move takes in a new place in the store of the write that is in force, which is
 // where a write that was lost and written back stands.
-func (l *Log) move(current, d Document) {
+func (l *DocumentSet) move(current, d Document) {
 	_, withdrawn := d.WithdrawnKeyID()
 	if d.Revision > current.Revision && (d.Nonce == current.Nonce || withdrawn) {
 		current.Revision = d.Revision
@@ -93,14 +93,14 @@
 	}
 }
 
-func (l *Log) put(d Document) {
+func (l *DocumentSet) put(d Document) {
 	l.documents[d.Key] = d
 	if d.Revision >= l.documents[l.newest].Revision {
 		l.newest = d.Key
 	}
 }
 
-func (l *Log) enforce(d Document) bool {
+func (l *DocumentSet) enforce(d Document) bool {
 	kind, name, ok := service.SplitKey(d.Key)
 	if !ok || kind == KindGeneration {
 		return false
@@ -127,7 +127,7 @@
 }
 
 // Revision is the rank up to which every document is known.
-func (l *Log) Revision() int64 {
+func (l *DocumentSet) Revision() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.revision
@@ -135,7 +135,7 @@
 
 // Since returns the documents after a rank in order, up to about limit bytes,
 // and whether there are more.
-func (l *Log) Since(after int64, limit int) (Batch, bool) {
+func (l *DocumentSet) Since(after int64, limit int) (Batch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if after >= l.revision {
@@ -169,7 +169,7 @@
 }
 
 // Documents returns every document, lowest rank first.
-func (l *Log) Documents() []Document {
+func (l *DocumentSet) Documents() []Document {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]Document, 0, len(l.documents))
@@ -181,7 +181,7 @@
 }
 
 // Rejected returns the keys of documents that this process cannot take.
-func (l *Log) Rejected() []string {
+func (l *DocumentSet) Rejected() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]string, 0, len(l.rejected))
@@ -193,7 +193,7 @@
 }
 
 // Findings returns what is wrong with documents or with the store.
-func (l *Log) Findings() []string {
+func (l *DocumentSet) Findings() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
--- a/coordination/configwatch/configwatch_test.go
+++ b/coordination/configwatch/configwatch_test.go
@@ -161,7 +161,7 @@
 	}
 	watching := func() (ids []string) {
 		for _, c := range candidates {
-			if Watches(c.ID, candidates) {
+			if IsWatcher(c.ID, candidates) {
 				ids = append(ids, c.ID)
 			}
 		}
@@ -217,15 +217,15 @@
 func TestWatchersHaveTheWidestLinks(t *testing.T) {
 	var candidates []Candidate
 	for i := range 9 {
-		candidates = append(candidates, Candidate{ID: fmt.Sprint("narrow-", i), Link: 10})
+		candidates = append(candidates, Candidate{ID: fmt.Sprint("narrow-", i), LinkMbps: 10})
 	}
-	candidates = append(candidates, Candidate{ID: "wide-0", Link: 200}, Candidate{ID: "wide-1", Link: 200})
+	candidates = append(candidates, Candidate{ID: "wide-0", LinkMbps: 200}, Candidate{ID: "wide-1", LinkMbps: 200})
 	got := Watchers(candidates, 2)
 	if slices.Sort(got); !slices.Equal(got, []string{"wide-0", "wide-1"}) {
 		t.Errorf("watchers %v", got)
 	}
 	for i := range candidates {
-		candidates[i].StoreFailing = candidates[i].Link > 10
+		candidates[i].StoreFailing = candidates[i].LinkMbps > 10
 	}
 	if got := Watchers(candidates, 1); !strings.HasPrefix(got[0], "narrow") {
 		t.Errorf("watcher %v does not reach the store", got)
--- a/coordination/configwatch/repair.go
+++ b/coordination/configwatch/repair.go
@@ -7,7 +7,7 @@
 )
 
 // Hash names the set of documents. Two instances with the same hash know the same.
-func (l *Log) Hash() uint64 {
+func (l *DocumentSet) Hash() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all uint64
@@ -18,7 +18,7 @@
 }
 
 // Buckets returns the hash of each part of the documents.
-func (l *Log) Buckets() []uint64 {
+func (l *DocumentSet) Buckets() []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.buckets[:])
@@ -27,7 +27,7 @@
 // Differing returns the documents in the parts whose hash is another one, for a
 // peer that compares its own, up to about limit bytes. The batch moves no
 // watermark: the peer asks again as long as the hashes differ.
-func (l *Log) Differing(buckets []uint64, limit int) Batch {
+func (l *DocumentSet) Differing(buckets []uint64, limit int) Batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	batch := Batch{After: l.revision, UpTo: 0}
@@ -45,7 +45,7 @@
 }
 
 // Withdraw notes a withdrawal that the store does not have yet.
-func (l *Log) Withdraw(keyID, nonce string) Document {
+func (l *DocumentSet) Withdraw(keyID, nonce string) Document {
 	d := Document{Key: service.StoreKey(KindWithdrawn, keyID), Nonce: nonce}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 // Pending returns the withdrawals that the store is not known to have.
-func (l *Log) Pending() []Document {
+func (l *DocumentSet) Pending() []Document {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Document
@@ -72,7 +72,7 @@
 // Newest returns the documents that a store has to hold if it has lost nothing:
 // the one of the highest rank and, when that one was deleted, also the highest
 // that was not, because a deletion leaves nothing to be read.
-func (l *Log) Newest() []Document {
+func (l *DocumentSet) Newest() []Document {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	newest, ok := l.documents[l.newest]
@@ -94,28 +94,28 @@
 	return []Document{standing, newest}
 }
 
-// Lost tells whether the store lacks a document that is in force. stands is what
+// MissingFromStore tells whether the store lacks a document that is in force. stands is what
 // it holds, nil for nothing.
-func Lost(d, stands *Document) bool {
+func MissingFromStore(d, stands *Document) bool {
 	if stands == nil {
 		return !d.Deleted
 	}
 	return compare(stands, d) < 0
 }
 
-// Restored tells whether what a store of the generation holds in place of a
+// StoreRestored tells whether what a store of the generation holds in place of a
 // document shows that it came back older: the document is lost, or a later write
 // has a lower rank. In a newer generation than the document's, that is known.
-func Restored(d, stands *Document, g Generations) bool {
-	if Lost(d, stands) {
+func StoreRestored(d, stands *Document, g Generations) bool {
+	if MissingFromStore(d, stands) {
 		return true
 	}
 	generation, _ := SplitRank(d.Revision)
 	return stands != nil && stands.Revision < d.Revision && generation >= g.Current
 }
 
-// ReportStore sets what is wrong with the store; empty when nothing is.
-func (l *Log) ReportStore(finding string) {
+// SetStoreFinding sets what is wrong with the store; empty when nothing is.
+func (l *DocumentSet) SetStoreFinding(finding string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.store = finding
--- a/coordination/configwatch/watchers.go
+++ b/coordination/configwatch/watchers.go
@@ -16,7 +16,7 @@
 type Candidate struct {
 	ID           string
 	StoreFailing bool // its last call of the store failed
-	Link         int  // rate of its machine's link; 0 when not known
+	LinkMbps     int  // rate of its machine's link; 0 when not known
 }
 
 // Watchers returns the ids of those that are to watch the store, count at most. Every instance with
@@ -32,7 +32,7 @@
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(watchScore(b.ID), watchScore(a.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(watchScore(b.ID), watchScore(a.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	var out []string
 	for _, c := range ranked[:min(len(ranked), count)] {
@@ -57,8 +57,8 @@
 	return out
 }
 
-// Watches tells whether the instance with the id is to watch the store.
-func Watches(id string, candidates []Candidate) bool {
+// IsWatcher tells whether the instance with the id is to watch the store.
+func IsWatcher(id string, candidates []Candidate) bool {
 	return slices.Contains(Watchers(candidates, WatchersPerDomain), id)
 }
 
--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -12,7 +12,7 @@
 
 // loadFresh is how long a member's own word on its domain's load is preferred to
 // that of another member.
-const loadFresh = 2 * RoundEvery
+const loadFresh = 2 * RoundInterval
 
 const heartbeatBytes = 2 // of each member in a view
 
@@ -153,8 +153,8 @@
 	return own.GetLoads()
 }
 
-// At returns the entry of the instance with a peer address, nil when there is none.
-func (t *Table) At(address string) *peerpb.Member {
+// ByPeerAddress returns the entry of the instance with a peer address, nil when there is none.
+func (t *Table) ByPeerAddress(address string) *peerpb.Member {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	for id, r := range t.members {
@@ -195,9 +195,9 @@
 	return resp
 }
 
-// Finish takes in the answer to Request and returns the follow-up that brings
+// ApplyResponse takes in the answer to Request and returns the follow-up that brings
 // both sides together, nil when they agree.
-func (t *Table) Finish(resp *peerpb.ExchangeResponse, now time.Time) *peerpb.ExchangeRequest {
+func (t *Table) ApplyResponse(resp *peerpb.ExchangeResponse, now time.Time) *peerpb.ExchangeRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, entry := range resp.GetMembers() {
--- a/coordination/membership/fleet_test.go
+++ b/coordination/membership/fleet_test.go
@@ -73,7 +73,7 @@
 
 func (f *fleet) rounds(n int) {
 	for range n {
-		f.now = f.now.Add(RoundEvery)
+		f.now = f.now.Add(RoundInterval)
 		for _, a := range f.order {
 			if !f.down[a] {
 				f.round(f.tables[a])
@@ -83,7 +83,7 @@
 }
 
 func (f *fleet) round(t *Table) {
-	t.Beat(f.now)
+	t.StartRound(f.now)
 	t.UpdateSelf(f.now, func(m *peerpb.Member) {
 		m.Loads = nil
 		for _, service := range []string{"notice-writer", "recall-ledger", "basil-lm", "guild-desk"} {
@@ -92,7 +92,7 @@
 			})
 		}
 	})
-	for _, a := range t.Round(f.now, f.rng) {
+	for _, a := range t.RoundTargets(f.now, f.rng) {
 		f.exchange(t, a)
 	}
 }
@@ -103,7 +103,7 @@
 	if peer == nil || f.down[to] || f.cut(t.Self(), peer.Self()) || f.rng.Float64() < f.loss {
 		return
 	}
-	req := t.Request(t.At(to))
+	req := t.Request(t.ByPeerAddress(to))
 	req.ConfigRevision, req.DocumentsHash, req.Ready, req.ServersHash = 100000, 1<<60, true, 3
 	resp := f.call(peer, req)
 	resp.ConfigRevision, resp.DocumentsHash, resp.Ready = 100000, 1<<60, true
@@ -114,8 +114,8 @@
 	if f.documents {
 		f.shareConfig(t, peer)
 	}
-	if next := t.Finish(resp, f.now); next != nil {
-		t.Finish(f.call(peer, next), f.now)
+	if next := t.ApplyResponse(resp, f.now); next != nil {
+		t.ApplyResponse(f.call(peer, next), f.now)
 	}
 }
 
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// RoundEvery is how often an instance starts exchanges.
-	RoundEvery = time.Second
+	// RoundInterval is how often an instance starts exchanges.
+	RoundInterval = time.Second
 	// UnreachableAfter is how long a counter may stand still before its instance
 	// counts as unreachable: three rounds in a row may be lost.
 	UnreachableAfter = 4 * time.Second
@@ -38,18 +38,18 @@
 	rememberGone = 24 * time.Hour
 	// roundSlack is how late a round may be before the instance takes itself to
 	// have been paused.
-	roundSlack = 2 * RoundEvery
+	roundSlack = 2 * RoundInterval
 )
 
 // Member is what is known of one instance.
 type Member struct {
-	Entry     *peerpb.Member // not to be changed
-	Heard     time.Time      // when its counter last rose here
-	Reachable bool
+	Entry       *peerpb.Member // not to be changed
+	LastContact time.Time      // when its counter last rose here
+	Reachable   bool
 	// Loads is the last word on the load of its failure domain, and LoadsHeard when that
 	// came here; zero when none has.
-	Loads      []*peerpb.ServiceLoad
-	LoadsHeard time.Time
+	Loads           []*peerpb.ServiceLoad
+	LoadsReceivedAt time.Time
 }
 
 // Leaving tells whether the instance said that it stops.
@@ -160,12 +160,12 @@
 	}
 }
 
-// Beat begins a round: it raises the own counter and forgets who has gone.
+// StartRound begins a round: it raises the own counter and forgets who has gone.
 //
 // After a pause of this process the silence of the others proves nothing: their
 // counters rose, it just did not look. Without the correction a resumed instance
 // takes all others for dead and refuses what it should forward.
-func (t *Table) Beat(now time.Time) {
+func (t *Table) StartRound(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if late := now.Sub(t.lastBeat) - roundSlack; late > 0 {
@@ -348,7 +348,7 @@
 	out := make([]Member, len(records))
 	for i, r := range records {
 		out[i] = Member{
-			Entry: r.entry, Heard: r.heard, Reachable: t.reachable(r.entry.GetId(), r, observed), Loads: r.loads, LoadsHeard: r.loadsHeard,
+			Entry: r.entry, LastContact: r.heard, Reachable: t.reachable(r.entry.GetId(), r, observed), Loads: r.loads, LoadsReceivedAt: r.loadsHeard,
 		}
 	}
 	return out
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -131,7 +131,7 @@
 	if !f.allReachable(9)(paused) {
 		t.Error("before its first round, the woken instance takes others for dead")
 	}
-	paused.Beat(f.now)
+	paused.StartRound(f.now)
 	if !f.allReachable(9)(paused) {
 		t.Error("when its first round begins, the woken instance takes others for dead")
 	}
@@ -150,7 +150,7 @@
 	id := f.tables[dead].self
 	f.down[dead], f.down[cutOff] = true, true
 	f.seedAll()
-	f.rounds(int(forgetUnlisted/RoundEvery) + 10)
+	f.rounds(int(forgetUnlisted/RoundInterval) + 10)
 	known := func(t *Table) bool { _, ok := t.find(id, f.now); return ok }
 	if got := f.count(known); got != 0 {
 		t.Fatalf("%d still know it", got)
@@ -179,7 +179,7 @@
 		table.SetSeeds(nil)
 	}
 	f.cut = func(from, to *peerpb.Member) bool { return from.GetRegion() != to.GetRegion() }
-	f.rounds(int(ForgetAfter/RoundEvery) + 10)
+	f.rounds(int(ForgetAfter/RoundInterval) + 10)
 	if f.count(f.allReachable(8)) != 0 {
 		t.Fatal("the cut does nothing")
 	}
@@ -237,7 +237,7 @@
 	for _, table := range f.tables {
 		table.SetSeeds([]Seed{{ID: dead.GetId(), PeerAddress: dead.GetPeerAddress()}})
 	}
-	f.rounds(int(forgetUnlisted/RoundEvery) + 10)
+	f.rounds(int(forgetUnlisted/RoundInterval) + 10)
 	if got := f.count(f.allReachable(8)); got != 8 {
 		t.Errorf("%d of 8 see the 8 live ones", got)
 	}
--- a/coordination/membership/targets.go
+++ b/coordination/membership/targets.go
@@ -52,11 +52,11 @@
 	return out
 }
 
-// Round returns the peer addresses to exchange with in this round: everyone in a
+// RoundTargets returns the peer addresses to exchange with in this round: everyone in a
 // small fleet; otherwise a few at random in the own domain and one in each of half
 // of the other domains, and now and then one that was lost, so that both sides of a long
 // partition find each other again without the platform.
-func (t *Table) Round(now time.Time, rng *rand.Rand) []string {
+func (t *Table) RoundTargets(now time.Time, rng *rand.Rand) []string {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	strangers := t.strangers()
--- a/coordination/once/claim.go
+++ b/coordination/once/claim.go
@@ -49,13 +49,13 @@
 	return c, errors.Wrap(json.Unmarshal(data, &c), "claim")
 }
 
-// Mine tells whether a stored claim is the one that an attempt made. Only that
+// HasNonce tells whether a stored claim is the one that an attempt made. Only that
 // attempt may retract it.
-func (c *Claim) Mine(nonce string) bool { return c.Nonce == nonce }
+func (c *Claim) HasNonce(nonce string) bool { return c.Nonce == nonce }
 
-// Standing returns what a second comer is told who finds a claim. run is what
+// DuplicateRefusal returns what a second comer is told who finds a claim. run is what
 // this instance remembers of it.
-func Standing(found Claim, hash string, run refusal.Run) *refusal.Refusal {
+func DuplicateRefusal(found Claim, hash string, run refusal.Run) *refusal.Refusal {
 	if found.Hash != hash {
 		return refusal.New(refusal.CodeInvalid, "the Idempotency-Key was used for another request")
 	}
--- a/coordination/once/key.go
+++ b/coordination/once/key.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// Window is how old an idempotency key may be.
-	Window = time.Hour
+	// MaxKeyAge is how old an idempotency key may be.
+	MaxKeyAge = time.Hour
 	// MaxAhead is how far a caller's clock may be ahead of an instance's.
 	MaxAhead = time.Minute
 	// MaxSkew is how far apart the clocks of two instances may be.
 	MaxSkew = time.Minute
-	// LeaseUse is how long one store lease takes new claims, so that a claim
+	// LeaseReusePeriod is how long one store lease takes new claims, so that a claim
 	// costs one write and not two.
-	LeaseUse = 10 * time.Minute
+	LeaseReusePeriod = 10 * time.Minute
 	// LeaseTTL ends a claim after its key has become too old everywhere: the
 	// lease takes claims for LeaseUse, a key is at most MaxAhead younger than
 	// its claim, and another instance's clock may be MaxSkew behind.
-	LeaseTTL = LeaseUse + MaxAhead + Window + MaxSkew
+	LeaseTTL = LeaseReusePeriod + MaxAhead + MaxKeyAge + MaxSkew
 )
 
 const (
@@ -53,8 +53,8 @@
 		return Key{}, refusal.New(refusal.CodeInvalid, "the Idempotency-Key has to be a UUIDv7")
 	}
 	age := now.Sub(created(id))
-	if age > Window {
-		return Key{}, refusal.New(refusal.CodeInvalid, "the Idempotency-Key is older than %s", Window).WithRun(refusal.Unknown)
+	if age > MaxKeyAge {
+		return Key{}, refusal.New(refusal.CodeInvalid, "the Idempotency-Key is older than %s", MaxKeyAge).WithRun(refusal.Unknown)
 	}
 	if age < -MaxAhead {
 		return Key{}, refusal.New(refusal.CodeInvalid, "the Idempotency-Key is from the future").WithRun(refusal.Unknown)
--- a/coordination/once/lease.go
+++ b/coordination/once/lease.go
@@ -14,5 +14,5 @@
 // Usable tells whether the lease still takes new claims. Counting from before
 // it was granted makes the lease outlive every claim's key.
 func (l Lease) Usable(now time.Time) bool {
-	return l.ID != 0 && now.Sub(l.since) < LeaseUse
+	return l.ID != 0 && now.Sub(l.since) < LeaseReusePeriod
 }
--- a/coordination/orders/orders.go
+++ b/coordination/orders/orders.go
@@ -21,14 +21,14 @@
 const (
 	// LeaseTTL is how long the lease of a domain's orders lasts unrenewed.
 	LeaseTTL = 12 * time.Second
-	// RenewEvery is how often it is renewed.
-	RenewEvery = LeaseTTL / 4
+	// RenewInterval is how often it is renewed.
+	RenewInterval = LeaseTTL / 4
 	// Timeout bounds one order. An order may take effect until it has run out.
 	Timeout = 2 * time.Second
-	// Spare is the time a lease must have left for an order to be sent: the
+	// MinLeaseRemaining is the time a lease must have left for an order to be sent: the
 	// order's own time and as much again for clocks that run apart.
-	Spare     = 2 * Timeout
-	keyPrefix = "orders/"
+	MinLeaseRemaining = 2 * Timeout
+	keyPrefix         = "orders/"
 )
 
 // Key is where the lease of a failure domain's orders stands in the store.
@@ -48,7 +48,7 @@
 func (l Lease) Held(now time.Time) bool { return l.Epoch > 0 && now.Before(l.until) }
 
 // MayOrder tells whether an order sent now ends before the lease does.
-func (l Lease) MayOrder(now time.Time) bool { return l.Held(now.Add(Spare)) }
+func (l Lease) MayOrder(now time.Time) bool { return l.Held(now.Add(MinLeaseRemaining)) }
 
 // State is what a server says of itself.
 type State struct {
@@ -64,8 +64,8 @@
 	Draining bool
 }
 
-// Wanted tells whether the service document orders anything.
-func Wanted(s *service.Service) bool {
+// HasOrders tells whether the service document orders anything.
+func HasOrders(s *service.Service) bool {
 	return s.Orders.Version != "" || len(s.Orders.Draining) > 0
 }
 
--- a/coordination/orders/orders_test.go
+++ b/coordination/orders/orders_test.go
@@ -96,7 +96,7 @@
 		for range 10 {
 			s.turn(t, 0, 0)
 			s.turn(t, 1, 0)
-			s.now = s.now.Add(RenewEvery)
+			s.now = s.now.Add(RenewInterval)
 			s.deliver()
 		}
 		if want := s.service.Orders.Version; want != "" && s.engine.Version != want {
@@ -126,7 +126,7 @@
 	if _, ok := Next(s, "e", State{Version: "v1"}, lease, asked); !ok {
 		t.Error("a fresh lease does not order")
 	}
-	for _, late := range []time.Duration{LeaseTTL - Spare, LeaseTTL, time.Hour} {
+	for _, late := range []time.Duration{LeaseTTL - MinLeaseRemaining, LeaseTTL, time.Hour} {
 		if order, ok := Next(s, "e", State{Version: "v1"}, lease, asked.Add(late)); ok {
 			t.Errorf("after %s it sends %+v", late, order)
 		}
--- a/coordination/placement/aside.go
+++ b/coordination/placement/aside.go
@@ -13,7 +13,7 @@
 func (p *Pool) setAside(now time.Time) map[*server]bool {
 	var failing []*server
 	for _, s := range p.servers {
-		if now.Before(s.asideUntil) && (s.down || p.on(features.SetAside)) {
+		if now.Before(s.asideUntil) && (s.down || p.on(features.Ejection)) {
 			failing = append(failing, s)
 		}
 	}
--- a/coordination/placement/bench_test.go
+++ b/coordination/placement/bench_test.go
@@ -16,7 +16,7 @@
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			var list []backends.Entry
 			for i := range n {
-				list = append(list, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Address: fmt.Sprint("a", i), Slots: 64}, Lifetime: 1})
+				list = append(list, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Address: fmt.Sprint("a", i), Slots: 64}, Incarnation: 1})
 			}
 			p := New()
 			p.Update(Settings{Engine: true, Slots: 64, CacheTokens: 200_000, FetchTime: 1e-6}, list)
--- a/coordination/placement/digest_test.go
+++ b/coordination/placement/digest_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("%v and %v requests after a word of the other server only", a, b)
 	}
 	reborn := append([]backends.Entry(nil), entries(2)...)
-	reborn[1].Lifetime = 2
+	reborn[1].Incarnation = 2
 	p.Update(p.settings, reborn)
 	tell(p.servers[1], 1000, 1)
 	if got := p.running(p.servers[1], now); got != 1 {
--- a/coordination/placement/failing_test.go
+++ b/coordination/placement/failing_test.go
@@ -23,7 +23,7 @@
 	tick := 25 * time.Millisecond
 	var entries []backends.Entry
 	for i := range 4 {
-		entries = append(entries, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Slots: 64}, Lifetime: 1})
+		entries = append(entries, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Slots: 64}, Incarnation: 1})
 	}
 	pools := make([]*Pool, instances)
 	for i := range pools {
@@ -84,7 +84,7 @@
 	p = New()
 	var entries []backends.Entry
 	for i := range 2 {
-		entries = append(entries, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Slots: 20}, Lifetime: 1})
+		entries = append(entries, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Slots: 20}, Incarnation: 1})
 	}
 	p.Update(Settings{Engine: true, Slots: 20, CacheTokens: 100_000}, entries[:1])
 	for range 10 {
--- a/coordination/placement/far.go
+++ b/coordination/placement/far.go
@@ -77,7 +77,7 @@
 func (p *Pool) fetchFar(c *candidate, w *Work) {
 	known := w.Far.Tokens - c.cached
 	switch {
-	case c.fetchFrom != "" || w.Far.Address == "" || p.settings.FetchTime <= 0 || !p.on(features.FarFetch):
+	case c.fetchFrom != "" || w.Far.Address == "" || p.settings.FetchTime <= 0 || !p.on(features.RemoteFetch):
 	case w.Far.Tokens == 0 && w.shared()-c.cached >= leastFetch:
 		c.fetchFrom = w.Far.Address
 	case known >= leastFetch:
--- a/coordination/placement/far_test.go
+++ b/coordination/placement/far_test.go
@@ -39,7 +39,7 @@
 	here, there := fetchingEngines(2), New()
 	var servers []backends.Entry
 	for _, id := range []string{"f0", "f1", "f2"} {
-		servers = append(servers, backends.Entry{Server: backends.Server{ID: id, Address: "far-" + id, Slots: 8}, Lifetime: 1})
+		servers = append(servers, backends.Entry{Server: backends.Server{ID: id, Address: "far-" + id, Slots: 8}, Incarnation: 1})
 	}
 	there.Update(Settings{Engine: true, Slots: 8, CacheTokens: 200_000}, servers)
 	here.UpdateFar("there", servers)
--- a/coordination/placement/features_test.go
+++ b/coordination/placement/features_test.go
@@ -27,24 +27,24 @@
 		feature features.Name
 		atWork  func(p *Pool) bool
 	}{
-		{features.HashHomes, func(p *Pool) bool { return p.home(7) != nil }},
+		{features.PreferredServers, func(p *Pool) bool { return p.home(7) != nil }},
 		{features.Fetch, func(p *Pool) bool {
 			pl := p.Place(prompt(7, 100), start).Placement
 			held := p.Holder(prompt(7, 100), start)
 			return pl != nil && held.Address != ""
 		}},
-		{features.FarFetch, func(p *Pool) bool {
+		{features.RemoteFetch, func(p *Pool) bool {
 			w := prompt(7, 100)
 			w.Far = Source{Address: "far"}
 			return p.Place(w, start).FetchFrom != ""
 		}},
-		{features.SetAside, func(p *Pool) bool {
+		{features.Ejection, func(p *Pool) bool {
 			for range 8 {
 				p.servers[0].fail(start)
 			}
 			return len(p.setAside(start)) > 0
 		}},
-		{features.LastResort, func(p *Pool) bool {
+		{features.EjectedFallback, func(p *Pool) bool {
 			for range 8 {
 				p.servers[0].fail(start)
 			}
@@ -53,23 +53,23 @@
 			w.Risk = true
 			return p.lastResort(w, start) != nil
 		}},
-		{features.PoolPace, func(p *Pool) bool {
+		{features.PoolLatencyFactor, func(p *Pool) bool {
 			pl := p.Place(prompt(7, 100), start).Placement
 			p.FirstByte(pl, start.Add(2*time.Second))
 			return p.pace > 1
 		}},
-		{features.LeaveByPace, func(p *Pool) bool {
+		{features.SpillByStall, func(p *Pool) bool {
 			pl := p.Place(prompt(7, 100), start).Placement
 			for i := range 200 {
 				p.Event(pl, time.Duration(30+i)*time.Millisecond, start)
 			}
 			return p.Slowed(start) > 0
 		}},
-		{features.SparePauses, func(p *Pool) bool {
+		{features.LimitEventGaps, func(p *Pool) bool {
 			teachPauses(p, start)
 			return p.longestPause(prompt(7, 50_000)) > 0
 		}},
-		{features.Comeback, func(p *Pool) bool {
+		{features.RetryAfterPacing, func(p *Pool) bool {
 			for _, s := range p.servers {
 				s.inFlight = s.Slots
 			}
--- a/coordination/placement/home.go
+++ b/coordination/placement/home.go
@@ -4,7 +4,7 @@
 
 // home returns the server that the hash names for a subject.
 func (p *Pool) home(subject uint64) *server {
-	if subject == 0 || !p.on(features.HashHomes) {
+	if subject == 0 || !p.on(features.PreferredServers) {
 		return nil
 	}
 	var best *server
--- a/coordination/placement/lastresort.go
+++ b/coordination/placement/lastresort.go
@@ -15,7 +15,7 @@
 // what the others cannot. It is not for requests
 // that may take effect and then look as if they had not.
 func (p *Pool) lastResort(w *Work, now time.Time) *candidate {
-	if !w.Risk || !p.on(features.LastResort) {
+	if !w.Risk || !p.on(features.EjectedFallback) {
 		return nil
 	}
 	aside := p.setAside(now)
--- a/coordination/placement/pace.go
+++ b/coordination/placement/pace.go
@@ -63,7 +63,7 @@
 // slowed returns the part of a server's time that does not go into the next tokens of its
 // running answers, against the fastest it was seen to go.
 func (p *Pool) slowed(s *server, now time.Time) float64 {
-	if !p.on(features.LeaveByPace) || s.steps.count < leastSteps || now.Sub(s.steps.at) > stepFresh || s.steps.mean <= p.fastest {
+	if !p.on(features.SpillByStall) || s.steps.count < leastSteps || now.Sub(s.steps.at) > stepFresh || s.steps.mean <= p.fastest {
 		return 0
 	}
 	return 1 - p.fastest/s.steps.mean
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -216,7 +216,7 @@
 	p.byHash = make(map[uint32]*server, len(entries))
 	for _, e := range entries {
 		s := known[e.ID]
-		if s == nil || s.Lifetime != e.Lifetime {
+		if s == nil || s.Incarnation != e.Incarnation {
 			s = newServer()
 			s.hash = xxhash.Sum64String(e.ID)
 		}
@@ -245,7 +245,7 @@
 		choice.Placement = p.start(risky, w, now)
 		return choice
 	}
-	if choice.Reason == ReasonFull && p.on(features.Comeback) {
+	if choice.Reason == ReasonFull && p.on(features.RetryAfterPacing) {
 		choice.RetryAfter = p.comeback.after(max(choice.RetryAfter, retryFull), now)
 	}
 	return choice
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -13,7 +13,7 @@
 func entries(n int) []backends.Entry {
 	var out []backends.Entry
 	for i := range n {
-		out = append(out, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Address: fmt.Sprint("a", i), Slots: 8}, Lifetime: 1})
+		out = append(out, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Address: fmt.Sprint("a", i), Slots: 8}, Incarnation: 1})
 	}
 	return out
 }
--- a/coordination/placement/replay_test.go
+++ b/coordination/placement/replay_test.go
@@ -182,7 +182,7 @@
 	out := &pools{cast: replayStart}
 	var entries []backends.Entry
 	for i := range replayServers {
-		entries = append(entries, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Slots: 64}, Lifetime: 1})
+		entries = append(entries, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Slots: 64}, Incarnation: 1})
 	}
 	for range replayInstances {
 		p := New()
--- a/coordination/placement/server.go
+++ b/coordination/placement/server.go
@@ -160,7 +160,7 @@
 	ratio := min(max(took/pl.expected, minPace), maxPace)
 	s.pace += (ratio*s.pace - s.pace) * paceWeight
 	s.pace = min(max(s.pace, minPace), maxPace)
-	if p.on(features.PoolPace) {
+	if p.on(features.PoolLatencyFactor) {
 		p.pace += (ratio*p.pace - p.pace) * poolPaceWeight
 		p.pace = min(max(p.pace, 1), maxPoolPace)
 	}
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -40,8 +40,8 @@
 // CrashLimit is how many crashes one fingerprint may cause over the fleet.
 const CrashLimit = 2
 
-// HoldFor is how long a crash is held against a fingerprint.
-const HoldFor = 15 * time.Minute
+// CrashTTL is how long a crash is held against a fingerprint.
+const CrashTTL = 15 * time.Minute
 
 // presumeFor is how long a crash that is not confirmed counts.
 const presumeFor = 10 * time.Second
@@ -110,14 +110,14 @@
 // need not wait for the next exchange. It is set before the list is used.
 func (l *List) OnCrash(notify func()) { l.onCrash = notify }
 
-// OnEnded sets what is called, with the list locked, when a server process is
+// OnServerExit sets what is called, with the list locked, when a server process is
 // first known to have ended. Without it requests go on to the dead server until
 // it is polled again, fail there, and are held to have crashed it. It is set
 // before the list is used.
-func (l *List) OnEnded(notify func(server, bootID string)) { l.onEnded = notify }
+func (l *List) OnServerExit(notify func(server, bootID string)) { l.onEnded = notify }
 
-// Refused tells whether the fingerprint is quarantined, and until when.
-func (l *List) Refused(fingerprint string, now time.Time) (time.Time, bool) {
+// Quarantined tells whether the fingerprint is quarantined, and until when.
+func (l *List) Quarantined(fingerprint string, now time.Time) (time.Time, bool) {
 	untils := l.untils(fingerprint, now)
 	if len(untils) < CrashLimit {
 		return time.Time{}, false
@@ -144,17 +144,17 @@
 	return untils
 }
 
-// Crashed notes that a server crashed with the request in flight.
-func (l *List) Crashed(fingerprint, server, bootID string, now time.Time) {
+// RecordCrash notes that a server crashed with the request in flight.
+func (l *List) RecordCrash(fingerprint, server, bootID string, now time.Time) {
 	l.mu.Lock()
-	l.add(fingerprint, CrashID(server, bootID), now.Add(HoldFor))
+	l.add(fingerprint, CrashID(server, bootID), now.Add(CrashTTL))
 	l.mu.Unlock()
 	l.notify()
 }
 
-// Presume notes that a server may have crashed with the request in flight. Its
+// PresumeCrash notes that a server may have crashed with the request in flight. Its
 // next report decides.
-func (l *List) Presume(fingerprint, server, bootID string, now time.Time) {
+func (l *List) PresumeCrash(fingerprint, server, bootID string, now time.Time) {
 	l.mu.Lock()
 	l.add(fingerprint, CrashID(server, bootID), now.Add(presumeFor))
 	l.presumed[server] = append(l.presumed[server], presumed{fingerprint, bootID, now})
@@ -168,10 +168,10 @@
 	}
 }
 
-// Reported takes in the boot id that a server gave when asked, and decides on the
+// RecordBootID takes in the boot id that a server gave when asked, and decides on the
 // crashes presumed of it before. A report that was asked for earlier may be of
 // the process that then crashed: it would clear the request.
-func (l *List) Reported(server, bootID string, asked, now time.Time) {
+func (l *List) RecordBootID(server, bootID string, asked, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var open []presumed
@@ -184,7 +184,7 @@
 			delete(l.crashes[p.fingerprint], CrashID(server, bootID))
 			continue
 		}
-		l.add(p.fingerprint, CrashID(server, p.bootID), now.Add(HoldFor))
+		l.add(p.fingerprint, CrashID(server, p.bootID), now.Add(CrashTTL))
 	}
 	l.presumed[server] = open
 	if len(open) == 0 {
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -12,23 +12,23 @@
 // everywhere until one of them runs out.
 func TestCrashesAreCountedOnce(t *testing.T) {
 	a, b, c := New(), New(), New()
-	a.Crashed("f", "s1", "boot", start)
-	b.Crashed("f", "s1", "boot", start.Add(time.Second))
+	a.RecordCrash("f", "s1", "boot", start)
+	b.RecordCrash("f", "s1", "boot", start.Add(time.Second))
 	for _, r := range a.Records(start) {
 		b.Merge(r)
 	}
-	if _, refused := b.Refused("f", start); refused || !b.Suspected("f", start) {
+	if _, refused := b.Quarantined("f", start); refused || !b.Suspected("f", start) {
 		t.Error("one crash seen by two instances counts as two")
 	}
-	c.Crashed("f", "s2", "boot", start.Add(time.Minute))
+	c.RecordCrash("f", "s2", "boot", start.Add(time.Minute))
 	for _, r := range b.Records(start) {
 		c.Merge(r)
 	}
-	until, refused := c.Refused("f", start)
-	if want := start.Add(time.Second + HoldFor); !refused || !until.Equal(want) {
+	until, refused := c.Quarantined("f", start)
+	if want := start.Add(time.Second + CrashTTL); !refused || !until.Equal(want) {
 		t.Errorf("refused %t until %s, want %s", refused, until, want)
 	}
-	if _, still := c.Refused("f", until); still || !c.Suspected("f", until) {
+	if _, still := c.Quarantined("f", until); still || !c.Suspected("f", until) {
 		t.Error("one of two crashes ran out, and the fingerprint is not a mere suspect")
 	}
 }
@@ -42,21 +42,21 @@
 		want bool
 	}{{"boot", false}, {"another", true}} {
 		l := New()
-		l.Presume("f", "s1", "boot", start)
+		l.PresumeCrash("f", "s1", "boot", start)
 		if !l.Suspected("f", start) {
 			t.Error("a presumed crash is not held against the request")
 		}
-		l.Reported("s1", "boot", start.Add(-time.Millisecond), start.Add(time.Millisecond))
+		l.RecordBootID("s1", "boot", start.Add(-time.Millisecond), start.Add(time.Millisecond))
 		if !l.Suspected("f", start.Add(time.Millisecond)) {
 			t.Error("a report asked for before the crash clears the request")
 		}
-		l.Reported("s1", c.boot, start.Add(time.Second), start.Add(time.Second))
+		l.RecordBootID("s1", c.boot, start.Add(time.Second), start.Add(time.Second))
 		if got := l.Suspected("f", start.Add(time.Minute)); got != c.want {
 			t.Errorf("reported as %q: suspected %t", c.boot, got)
 		}
 	}
 	l := New()
-	l.Presume("f", "s1", "boot", start)
+	l.PresumeCrash("f", "s1", "boot", start)
 	if l.Suspected("f", start.Add(presumeFor)) {
 		t.Error("the presumption about a server that is cut off does not run out")
 	}
--- a/coordination/routing/outlier.go
+++ b/coordination/routing/outlier.go
@@ -21,7 +21,7 @@
 // Failed takes in a failed request and sets the server aside when it is one of
 // several in a row. It tells whether it did.
 func Failed(table *servers.Table, e *servers.Entry, now time.Time) bool {
-	if e.Erred() < errorLimit {
+	if e.RecordError() < errorLimit {
 		return false
 	}
 	return eject(table, e.View(), now)
@@ -30,7 +30,7 @@
 // Answered takes in an answer: the time to the first token, the one that was
 // expected of it, and how long the request lasted.
 func Answered(e *servers.Entry, latency, expected, duration time.Duration) {
-	e.Recovered()
+	e.RecordSuccess()
 	v := e.View()
 	mean := v.MeanDuration + time.Duration(sampleWeight*float64(duration-v.MeanDuration))
 	if v.MeanDuration == 0 {
@@ -41,7 +41,7 @@
 		sample := min(max(float64(latency)/float64(expected), minFactor), maxFactor)
 		factor += sampleWeight * (sample - factor)
 	}
-	e.Measured(mean, factor)
+	e.SetMeasurements(mean, factor)
 }
 
 // EjectSlow sets aside the servers of a service that are much slower than the median.
@@ -61,7 +61,7 @@
 	for _, e := range list {
 		v := e.View()
 		if v.Usable() && !v.Ejected(now) && v.LatencyFactor > slowOutlier*median && eject(table, v, now) {
-			e.Measured(v.MeanDuration, median) // it comes back with a clean sheet and is judged anew
+			e.SetMeasurements(v.MeanDuration, median) // it comes back with a clean sheet and is judged anew
 		}
 	}
 }
--- a/coordination/routing/server.go
+++ b/coordination/routing/server.go
@@ -134,8 +134,8 @@
 func (s *scorer) expected(e *servers.Entry, f *servers.Facts) float64 {
 	fade := fadeAfter / (fadeAfter + max(float64(s.now-f.ReportedAt), 0))
 	tokens := fade*f.WaitingTokens + float64(e.PendingTokens()+s.request.Uncached(e))
-	requests := fade*f.Others + float64(e.InFlight())
-	return tokens/prefillRate(f) + requests*perRequest + fade*f.Drain + f.StepTime
+	requests := fade*f.OtherRequests + float64(e.InFlight())
+	return tokens/prefillRate(f) + requests*perRequest + fade*f.QueueDrainTime + f.StepTime
 }
 
 // cost is the expected time to the first token in seconds, corrected by what
@@ -145,7 +145,7 @@
 	if s.request.Service.Policy == service.PolicyCost {
 		weight = costPrefillFactor
 	}
-	cost := s.expected(e, f) * f.Factor
+	cost := s.expected(e, f) * f.LatencyFactor
 	cost += (weight - 1) * float64(s.request.Uncached(e)) / prefillRate(f)
 	if up := float64(s.now - f.Since); up < warmUp {
 		cost += warmUpPenalty * (1 - up/warmUp)
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -59,7 +59,7 @@
 		t.Error(err)
 		return
 	}
-	if region, ok := fleet.Domain(settings.Domain); !ok || region != settings.Region {
+	if region, ok := fleet.RegionOfDomain(settings.Domain); !ok || region != settings.Region {
 		t.Errorf("%s: the fleet document has no domain %s in %s", path, settings.Domain, settings.Region)
 	}
 }
--- a/experiment/policy_gateway.go
+++ b/experiment/policy_gateway.go
@@ -51,7 +51,7 @@
 	now := g.sim.time()
 	for _, e := range g.region.engines {
 		if !e.up {
-			g.table.Failed(g.sim.service.Name, e.id, 1)
+			g.table.RecordCallFailure(g.sim.service.Name, e.id, 1)
 			continue
 		}
 		g.table.Report(g.sim.service.Name, e.id, e.load(now))
@@ -177,7 +177,7 @@
 func (g *simGateway) leave(j *job, answered bool) {
 	now := g.sim.time()
 	if j.generated == 0 {
-		j.entry.Started(j.uncached)
+		j.entry.EndPrefill(j.uncached)
 	}
 	j.entry.End(j.bulk())
 	if answered {
--- a/experiment/policy_sim.go
+++ b/experiment/policy_sim.go
@@ -306,7 +306,7 @@
 }
 
 func (s *policySim) firstToken(j *job) {
-	j.entry.Started(j.uncached)
+	j.entry.EndPrefill(j.uncached)
 	j.latency = s.time().Sub(j.sent)
 	j.answered = true
 	j.at.began(j)
--- a/instance/config.go
+++ b/instance/config.go
@@ -48,7 +48,7 @@
 			candidates = append(candidates, configwatch.Candidate{ID: m.Entry.GetId(), StoreFailing: m.Entry.GetStoreUnreachable()})
 		}
 	}
-	return configwatch.Watches(i.settings.ID, candidates)
+	return configwatch.IsWatcher(i.settings.ID, candidates)
 }
 
 func (i *Instance) offerStored(batch configwatch.Batch) {
--- a/instance/domains.go
+++ b/instance/domains.go
@@ -73,7 +73,7 @@
 func (i *Instance) remote(m membership.Member, name string) routing.Domain {
 	d := routing.Domain{
 		Name: m.Entry.GetDomain(), Region: m.Entry.GetRegion(), PeerID: m.Entry.GetId(),
-		PeerHash: xxhash.Sum64String(m.Entry.GetId()), Report: uint64(m.Heard.UnixNano()),
+		PeerHash: xxhash.Sum64String(m.Entry.GetId()), Report: uint64(m.LastContact.UnixNano()),
 		Peer: m.Entry.GetPeerAddress(), LinkDelay: i.settings.Links.Domain,
 	}
 	if d.Region != i.settings.Region {
--- a/instance/exchange.go
+++ b/instance/exchange.go
@@ -19,10 +19,10 @@
 // exchange brings the own view and the peers' together, each second and at once
 // after something came into force here.
 func (i *Instance) exchange(ctx context.Context) {
-	ticker := time.NewTicker(membership.RoundEvery)
+	ticker := time.NewTicker(membership.RoundInterval)
 	defer ticker.Stop()
 	for {
-		i.members.Beat(time.Now())
+		i.members.StartRound(time.Now())
 		i.exchangeRound(ctx)
 		select {
 		case <-ticker.C:
@@ -40,7 +40,7 @@
 	asked := i.listTried.Load()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	var calls sync.WaitGroup
-	for _, address := range i.members.Round(time.Now(), rng) {
+	for _, address := range i.members.RoundTargets(time.Now(), rng) {
 		if _, busy := i.exchanging.LoadOrStore(address, true); busy {
 			continue
 		}
@@ -101,7 +101,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	known := i.members.At(address)
+	known := i.members.ByPeerAddress(address)
 	req := i.members.Request(known)
 	i.addConfig(req, known)
 	req.Quarantines = i.quarantines()
@@ -110,7 +110,7 @@
 	if err != nil {
 		return false
 	}
-	next := i.members.Finish(resp, time.Now())
+	next := i.members.ApplyResponse(resp, time.Now())
 	i.takeQuarantines(resp.GetQuarantines())
 	i.takeServers(resp.GetServers())
 	next = i.finishConfig(resp, next)
@@ -131,7 +131,7 @@
 	if err != nil {
 		return // the next round tries again
 	}
-	i.members.Finish(resp, time.Now())
+	i.members.ApplyResponse(resp, time.Now())
 	i.takeDifferent(resp)
 }
 
--- a/instance/fleet_test.go
+++ b/instance/fleet_test.go
@@ -202,7 +202,7 @@
 		candidates = append(candidates, configwatch.Candidate{ID: id})
 	}
 	for _, id := range f.Order {
-		if configwatch.Watches(id, candidates) {
+		if configwatch.IsWatcher(id, candidates) {
 			f.Instances[id].Kill()
 			delete(f.Instances, id)
 		}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -47,7 +47,7 @@
 	metrics  *metrics.Recorder
 
 	catalog    *catalog.Catalog
-	config     *configwatch.Log
+	config     *configwatch.DocumentSet
 	members    *membership.Table
 	servers    *servers.Table
 	requests   *requests.Table
@@ -115,9 +115,9 @@
 	i.background, i.stopLoops = context.WithCancel(context.Background())
 	i.config = configwatch.New(i.catalog)
 	i.quarantine.OnCrash(i.announceCrash)
-	i.quarantine.OnEnded(i.servers.Ended)
-	i.catalog.OnWithdraw(i.requests.Withdraw)
-	i.catalog.OnWithdraw(i.forwarded.Withdraw)
+	i.quarantine.OnServerExit(i.servers.MarkProcessEnded)
+	i.catalog.OnWithdraw(i.requests.CancelKey)
+	i.catalog.OnWithdraw(i.forwarded.CancelKey)
 	if err := i.listen(); err != nil {
 		return nil, err
 	}
--- a/instance/orders.go
+++ b/instance/orders.go
@@ -24,7 +24,7 @@
 // documents want. Without a document that wants anything it calls nobody.
 func (i *Instance) issueOrders(ctx context.Context) {
 	o := &orderer{instance: i}
-	every(ctx, orders.RenewEvery, o.turn)
+	every(ctx, orders.RenewInterval, o.turn)
 	o.release()
 }
 
@@ -48,7 +48,7 @@
 func (o *orderer) wanted() []*service.Service {
 	var out []*service.Service
 	for _, s := range o.instance.catalog.Services() {
-		if orders.Wanted(s) && s.AllowsDomain(o.instance.settings.Region, o.instance.settings.Domain) {
+		if orders.HasOrders(s) && s.AllowsDomain(o.instance.settings.Region, o.instance.settings.Domain) {
 			out = append(out, s)
 		}
 	}
@@ -94,7 +94,7 @@
 }
 
 func (o *orderer) orderAll(ctx context.Context, s *service.Service) {
-	for _, server := range o.instance.servers.Of(s.Name) {
+	for _, server := range o.instance.servers.ByService(s.Name) {
 		if ctx.Err() == nil && server.Listed {
 			o.order(ctx, s, server)
 		}
--- a/instance/poll.go
+++ b/instance/poll.go
@@ -44,11 +44,11 @@
 	asked := time.Now()
 	load, err := ask(ctx, server.Address, asked)
 	if err != nil {
-		i.servers.Failed(server.Service, server.ID, pollFailureLimit)
+		i.servers.RecordCallFailure(server.Service, server.ID, pollFailureLimit)
 		return
 	}
 	i.servers.Report(server.Service, server.ID, load)
-	i.quarantine.Reported(server.ID, load.BootID, asked, time.Now())
+	i.quarantine.RecordBootID(server.ID, load.BootID, asked, time.Now())
 	entry := i.servers.Entry(server.Service, server.ID)
 	if entry == nil {
 		return
--- a/instance/routed/copies.go
+++ b/instance/routed/copies.go
@@ -54,7 +54,7 @@
 				continue
 			}
 			d := f.mirror.Since(view.GetRevision())
-			reply := &peerpb.StoreView{Prefix: f.prefix, Revision: d.Revision, After: d.After, Whole: d.Whole}
+			reply := &peerpb.StoreView{Prefix: f.prefix, Revision: d.Revision, After: d.After, Whole: d.Full}
 			for _, item := range d.Items {
 				reply.Items = append(reply.Items, &peerpb.Document{
 					Key: item.Key, Revision: item.Revision, Value: item.Value, Deleted: item.Removed,
@@ -99,7 +99,7 @@
 // takeViews takes in what a peer knows beyond this instance.
 func (n *Node) takeViews(views []*peerpb.StoreView, from origin) {
 	for _, view := range views {
-		d := mirror.Delta{After: view.GetAfter(), Revision: view.GetRevision(), Whole: view.GetWhole()}
+		d := mirror.Delta{After: view.GetAfter(), Revision: view.GetRevision(), Full: view.GetWhole()}
 		for _, item := range view.GetItems() {
 			d.Items = append(d.Items, mirror.Item{
 				Key: item.GetKey(), Value: item.GetValue(), Revision: item.GetRevision(), Removed: item.GetDeleted(),
--- a/instance/routed/facts.go
+++ b/instance/routed/facts.go
@@ -89,8 +89,8 @@
 			continue
 		}
 		server.Region = n.settings.Domains[server.Domain]
-		n.log.Info("server_entry", "server", server.ID, "service", server.Service, "domain", server.Domain, "born", server.Born,
-			"draining", server.Draining, "cold_ms", server.ColdFor.Milliseconds(), "left_ms", server.TimeLeft.Milliseconds(), "revision", item.Revision)
+		n.log.Info("server_entry", "server", server.ID, "service", server.Service, "domain", server.Domain, "born", server.StartUnixMs,
+			"draining", server.Draining, "cold_ms", server.ColdRemaining.Milliseconds(), "left_ms", server.TimeLeft.Milliseconds(), "revision", item.Revision)
 		n.backends.Put(server, now)
 	}
 	n.refreshPools(now)
--- a/instance/routed/features_test.go
+++ b/instance/routed/features_test.go
@@ -19,9 +19,9 @@
 		feature features.Name
 		atWork  func(n *Node) bool
 	}{
-		{features.Digests, func(n *Node) bool { return len(n.castPeers(others)) > 0 }},
-		{features.StartWait, func(n *Node) bool { return n.mayWait() }},
-		{features.AskLoans, func(n *Node) bool { // goes on asking until the caller gives up
+		{features.LoadReports, func(n *Node) bool { return len(n.castPeers(others)) > 0 }},
+		{features.StartupWait, func(n *Node) bool { return n.mayWait() }},
+		{features.ConfirmLoans, func(n *Node) bool { // goes on asking until the caller gives up
 			const patience = time.Second
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
--- a/instance/routed/follow.go
+++ b/instance/routed/follow.go
@@ -73,7 +73,7 @@
 	after := f.mirror.Revision()
 	if !listed || after == 0 {
 		found, revision, err := store.List(ctx, f.prefix, 0)
-		return mirror.Delta{Revision: revision, Items: items(found), Whole: true}, err
+		return mirror.Delta{Revision: revision, Items: items(found), Full: true}, err
 	}
 	found, revision, err := store.Watch(ctx, f.prefix, after, watchWait)
 	return mirror.Delta{After: after, Revision: revision, Items: items(found)}, err
@@ -108,7 +108,7 @@
 	}
 	n.log.Info("store_back", "prefix", f.prefix, "away_ms", (n.uptime() - time.Duration(since)).Milliseconds())
 	if f == n.servers {
-		n.backends.StoreAway(false, time.Now())
+		n.backends.SetStoreUnreachable(false, time.Now())
 	}
 }
 
@@ -119,7 +119,7 @@
 		n.log.Info("store_lost", "prefix", f.prefix, "error", err.Error())
 	}
 	if f == n.servers {
-		n.backends.StoreAway(true, now)
+		n.backends.SetStoreUnreachable(true, now)
 	}
 }
 
@@ -144,7 +144,7 @@
 
 // mayWait tells whether requests may wait for what this instance still has to learn.
 func (n *Node) mayWait() bool {
-	return n.uptime() < startTime && n.features.On(features.StartWait)
+	return n.uptime() < startTime && n.features.On(features.StartupWait)
 }
 
 // uptime is by the steady clock: the time of day may jump.
--- a/instance/routed/loans.go
+++ b/instance/routed/loans.go
@@ -26,7 +26,7 @@
 
 // askSilent asks all that share the quotas whether they hold loans of a predecessor.
 func (n *Node) askSilent(ctx context.Context) {
-	for ctx.Err() == nil && !n.shares.Cleared() && n.features.On(features.AskLoans) {
+	for ctx.Err() == nil && !n.shares.Cleared() && n.features.On(features.ConfirmLoans) {
 		silent := n.shares.Silent()
 		rand.Shuffle(len(silent), func(a, b int) { silent[a], silent[b] = silent[b], silent[a] })
 		for _, id := range silent[:min(len(silent), silentFan)] {
--- a/instance/routed/members.go
+++ b/instance/routed/members.go
@@ -33,13 +33,13 @@
 	last := time.Time{}
 	for ctx.Err() == nil {
 		now := time.Now()
-		if now.Sub(last) >= membership.RoundEvery {
-			n.members.Beat(now)
+		if now.Sub(last) >= membership.RoundInterval {
+			n.members.StartRound(now)
 			last = now
 		}
 		n.publishLoads(now)
 		rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		for _, address := range n.members.Round(now, rng) {
+		for _, address := range n.members.RoundTargets(now, rng) {
 			if _, busy := n.exchanging.LoadOrStore(address, true); busy {
 				continue
 			}
@@ -48,7 +48,7 @@
 				n.exchangeWith(ctx, address)
 			})
 		}
-		wait := membership.RoundEvery
+		wait := membership.RoundInterval
 		switch {
 		case !n.shares.Cleared():
 			wait = exchangeFirst
@@ -81,7 +81,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeWait)
 	defer cancel()
-	req := n.members.Request(n.members.At(address))
+	req := n.members.Request(n.members.ByPeerAddress(address))
 	req.Quarantines = peer.EncodeQuarantines(n.quarantine.Records(time.Now()))
 	req.StoreViews = n.knowledge()
 	req.LentBefore = !n.shares.Cleared()
@@ -112,7 +112,7 @@
 }
 
 func (n *Node) takeResponse(ctx context.Context, client peerpb.PeerClient, asked *peerpb.ExchangeRequest, resp *peerpb.ExchangeResponse) {
-	next := n.members.Finish(resp, time.Now())
+	next := n.members.ApplyResponse(resp, time.Now())
 	n.takeViews(resp.GetStoreViews(), origin{way: wayExchange, peer: resp.GetFrom()})
 	n.catchUp(client, resp.GetFrom(), resp.GetStoreViews())
 	for _, q := range resp.GetQuarantines() {
@@ -127,7 +127,7 @@
 		if err != nil {
 			n.log.Debug("exchange_follow_up", "error", err.Error())
 		} else {
-			n.members.Finish(followed, time.Now())
+			n.members.ApplyResponse(followed, time.Now())
 		}
 	}
 	n.lookAtNews(time.Now())
@@ -245,7 +245,7 @@
 
 // castPeers returns with which of the region's other instances this one shares its load.
 func (n *Node) castPeers(others []loadhub.Peer) []loadhub.Peer {
-	if !n.features.On(features.Digests) {
+	if !n.features.On(features.LoadReports) {
 		return nil
 	}
 	return others
--- a/instance/routed/metrics_test.go
+++ b/instance/routed/metrics_test.go
@@ -16,7 +16,7 @@
 func TestRedundantCopiesAreCounted(t *testing.T) {
 	m := newCopyMetrics(prometheus.NewRegistry())
 	copied, from := mirror.New(), origin{way: wayExchange, peer: "front-2"}
-	d := mirror.Delta{Revision: 3, Whole: true, Items: []mirror.Item{{Key: "config/current", Value: make([]byte, 100), Revision: 3}}}
+	d := mirror.Delta{Revision: 3, Full: true, Items: []mirror.Item{{Key: "config/current", Value: make([]byte, 100), Revision: 3}}}
 	for range 3 {
 		m.arrived("config/", from, d, copied.Apply(d))
 	}
--- a/instance/routed/node.go
+++ b/instance/routed/node.go
@@ -135,7 +135,7 @@
 		pool: peer.NewPool(insecure.NewCredentials()), news: make(chan struct{}, 1),
 		listeners: make(map[string]net.Listener), failed: make(chan error, 8),
 	}
-	if !set.On(features.PassLargeWait) {
+	if !set.On(features.OvertakeLargeWaits) {
 		n.ledger.DisablePassing()
 	}
 	n.background, n.stopLoops = context.WithCancel(context.Background())
--- a/instance/routed/views.go
+++ b/instance/routed/views.go
@@ -23,7 +23,7 @@
 		return false
 	}
 	return slices.ContainsFunc(n.members.Members(now), func(m membership.Member) bool {
-		return m.Entry.GetId() != n.settings.ID && !m.Leaving() && now.Sub(m.Heard) < lastKnownFor
+		return m.Entry.GetId() != n.settings.ID && !m.Leaving() && now.Sub(m.LastContact) < lastKnownFor
 	})
 }
 
@@ -50,7 +50,7 @@
 			continue
 		}
 		byRegion[region] = append(byRegion[region], m)
-		if m.LoadsHeard.After(latest[region].LoadsHeard) {
+		if m.LoadsReceivedAt.After(latest[region].LoadsReceivedAt) {
 			latest[region] = m
 		}
 	}
@@ -62,7 +62,7 @@
 		m, word := members[rand.IntN(len(members))], latest[region]
 		remote := httproute.Remote{
 			Region: region, Instance: m.Entry.GetId(), Address: m.Entry.GetRelayAddress(),
-			RoundTrip: 2 * n.settings.Bounds.RegionDelay, Heard: word.LoadsHeard,
+			RoundTrip: 2 * n.settings.Bounds.RegionDelay, Heard: word.LoadsReceivedAt,
 		}
 		for _, load := range word.Loads {
 			if load.GetService() == service {
@@ -122,7 +122,7 @@
 	}
 	var homes []string
 	if config := n.routes.Current(); config != nil {
-		homes = config.HostHomes(q.Host)
+		homes = config.HostHomeRegions(q.Host)
 	}
 	now := time.Now()
 	isolated := n.isolated(now)
@@ -130,7 +130,7 @@
 	for _, m := range n.members.Members(now) {
 		usable := m.Reachable
 		if isolated {
-			usable = !m.Reachable && now.Sub(m.Heard) < lastKnownFor
+			usable = !m.Reachable && now.Sub(m.LastContact) < lastKnownFor
 		}
 		if usable {
 			known = append(known, directory.Instance{
--- a/instance/routed/watch.go
+++ b/instance/routed/watch.go
@@ -64,7 +64,7 @@
 		if m.Reachable && !m.Leaving() && m.Entry.GetRegion() == n.settings.Region {
 			domain := m.Entry.GetDomain()
 			candidates[domain] = append(candidates[domain], configwatch.Candidate{
-				ID: m.Entry.GetId(), StoreFailing: m.Entry.GetStoreUnreachable(), Link: int(m.Entry.GetLinkMbps()),
+				ID: m.Entry.GetId(), StoreFailing: m.Entry.GetStoreUnreachable(), LinkMbps: int(m.Entry.GetLinkMbps()),
 			})
 		}
 	}
--- a/instance/status.go
+++ b/instance/status.go
@@ -32,7 +32,7 @@
 		status.Instances = append(status.Instances, operatorapi.InstanceStatus{
 			ID: m.Entry.GetId(), Region: m.Entry.GetRegion(), Domain: m.Entry.GetDomain(),
 			Address: m.Entry.GetCallerAddress(), State: state, Incarnation: int64(m.Entry.GetIncarnation()),
-			ConfigRevision: revision, AgeMs: now.Sub(m.Heard).Milliseconds(), Rejected: m.Entry.GetRejected(),
+			ConfigRevision: revision, AgeMs: now.Sub(m.LastContact).Milliseconds(), Rejected: m.Entry.GetRejected(),
 		})
 	}
 	return status
--- a/instance/stop.go
+++ b/instance/stop.go
@@ -62,8 +62,8 @@
 func (i *Instance) cut(tables ...<-chan struct{}) {
 	reason := refusal.New(refusal.CodeLeaving, "this instance stops").WithRun(refusal.Unknown)
 	i.log.Warn("cutting requests", "in_flight", i.requests.Count(), "forwarded", i.forwarded.Count())
-	i.requests.Cut(reason)
-	i.forwarded.Cut(reason)
+	i.requests.CancelAll(reason)
+	i.forwarded.CancelAll(reason)
 	ctx, cancel := context.WithTimeout(context.Background(), cutFor)
 	defer cancel()
 	for _, drained := range tables {
--- a/instance/storewatch.go
+++ b/instance/storewatch.go
@@ -23,7 +23,7 @@
 // storeWatch reads the documents from the store. It is for one goroutine.
 type storeWatch struct {
 	store  platform.Store
-	config *configwatch.Log
+	config *configwatch.DocumentSet
 	offer  func(configwatch.Batch)
 	delay  func(context.Context) // before a repair, so that not all watchers begin at once
 	log    *slog.Logger
@@ -58,7 +58,7 @@
 		w.listed = false
 		return w.repairStore(ctx)
 	}
-	w.config.ReportStore("")
+	w.config.SetStoreFinding("")
 	w.takeStored(found)
 	if !w.unchecked {
 		return nil
@@ -148,7 +148,7 @@
 		if err != nil {
 			return false, err
 		}
-		if configwatch.Restored(&d, stands, w.generations) {
+		if configwatch.StoreRestored(&d, stands, w.generations) {
 			return true, nil
 		}
 	}
@@ -203,7 +203,7 @@
 func (w *storeWatch) repairStore(ctx context.Context) error {
 	g := w.generations
 	generation, revision := configwatch.SplitRank(w.config.Revision())
-	w.config.ReportStore(fmt.Sprintf("the store came back older than revision %d, which is in force, and is not obeyed: "+
+	w.config.SetStoreFinding(fmt.Sprintf("the store came back older than revision %d, which is in force, and is not obeyed: "+
 		"what it lost is being written back", revision))
 	w.log.Warn("store came back older", "generation", generation, "revision", revision)
 	w.delay(ctx)
@@ -249,7 +249,7 @@
 	if listed {
 		stands = stored(g, kv)
 	}
-	if !configwatch.Lost(&d, stands) {
+	if !configwatch.MissingFromStore(&d, stands) {
 		return nil
 	}
 	next := platform.Write{Key: d.Key, Value: d.Value, Delete: d.Deleted, Nonce: d.Nonce}
--- a/instance/storewatch_test.go
+++ b/instance/storewatch_test.go
@@ -18,7 +18,7 @@
 // watcher is the configuration part of an instance.
 type watcher struct {
 	catalog *catalog.Catalog
-	config  *configwatch.Log
+	config  *configwatch.DocumentSet
 	watch   *storeWatch
 }
 
--- a/service/document.go
+++ b/service/document.go
@@ -181,8 +181,8 @@
 	Release   time.Duration `yaml:"release"`  // after the lease, when nobody is left who may take the slot
 }
 
-// Domain returns whether the fleet has the failure domain, and its region.
-func (f *Fleet) Domain(name string) (region string, ok bool) {
+// RegionOfDomain returns whether the fleet has the failure domain, and its region.
+func (f *Fleet) RegionOfDomain(name string) (region string, ok bool) {
 	for region, r := range f.Regions {
 		for _, domain := range r.Domains {
 			if domain == name {
--- a/service/features/features.go
+++ b/service/features/features.go
@@ -14,27 +14,27 @@
 
 // Features.
 const (
-	LeaveByRoom   Name = "leave_by_room"   // requests leave a region short of slots
-	LeaveByPace   Name = "leave_by_pace"   // and one whose running answers are slow
-	Fetch         Name = "fetch"           // cached parts are fetched from servers of the region
-	FarFetch      Name = "far_fetch"       // and of other regions
-	HashHomes     Name = "hash_homes"      // prompts that share parts prefer one server
-	PoolPace      Name = "pool_pace"       // a pace of all servers beside each server's own
-	Digests       Name = "digests"         // instances of a region tell each other their load
-	SetAside      Name = "set_aside"       // servers that fail a part of their requests get none
-	LastResort    Name = "last_resort"     // but for requests that would be refused
-	Comeback      Name = "comeback"        // refused callers are told times behind each other
-	SparePauses   Name = "spare_pauses"    // long prompts avoid servers whose answers they would hold up
-	StartWait     Name = "start_wait"      // requests wait for what a starting instance learns
-	AskLoans      Name = "ask_loans"       // a restarted instance asks all others for its loans
-	PassLargeWait Name = "pass_large_wait" // small requests pass large ones that wait for tokens
+	SpillByOccupancy   Name = "leave_by_room"   // requests leave a region short of slots
+	SpillByStall       Name = "leave_by_pace"   // and one whose running answers are slow
+	Fetch              Name = "fetch"           // cached parts are fetched from servers of the region
+	RemoteFetch        Name = "far_fetch"       // and of other regions
+	PreferredServers   Name = "hash_homes"      // prompts that share parts prefer one server
+	PoolLatencyFactor  Name = "pool_pace"       // a pace of all servers beside each server's own
+	LoadReports        Name = "digests"         // instances of a region tell each other their load
+	Ejection           Name = "set_aside"       // servers that fail a part of their requests get none
+	EjectedFallback    Name = "last_resort"     // but for requests that would be refused
+	RetryAfterPacing   Name = "comeback"        // refused callers are told times behind each other
+	LimitEventGaps     Name = "spare_pauses"    // long prompts avoid servers whose answers they would hold up
+	StartupWait        Name = "start_wait"      // requests wait for what a starting instance learns
+	ConfirmLoans       Name = "ask_loans"       // a restarted instance asks all others for its loans
+	OvertakeLargeWaits Name = "pass_large_wait" // small requests pass large ones that wait for tokens
 )
 
 // All returns every feature, ordered by name.
 func All() []Name {
 	return []Name{
-		AskLoans, Comeback, Digests, FarFetch, Fetch, HashHomes, LastResort, LeaveByPace, LeaveByRoom,
-		PassLargeWait, PoolPace, SetAside, SparePauses, StartWait,
+		ConfirmLoans, RetryAfterPacing, LoadReports, RemoteFetch, Fetch, PreferredServers, EjectedFallback, SpillByStall, SpillByOccupancy,
+		OvertakeLargeWaits, PoolLatencyFactor, Ejection, LimitEventGaps, StartupWait,
 	}
 }
 
--- a/service/features/features_test.go
+++ b/service/features/features_test.go
@@ -6,8 +6,8 @@
 )
 
 func TestSet(t *testing.T) {
-	s := NewSet(map[Name]bool{Fetch: false, Comeback: true})
-	if s.On(Fetch) || !s.On(Comeback) || !s.On(Digests) || !slices.Equal(s.Off(), []Name{Fetch}) {
+	s := NewSet(map[Name]bool{Fetch: false, RetryAfterPacing: true})
+	if s.On(Fetch) || !s.On(RetryAfterPacing) || !s.On(LoadReports) || !slices.Equal(s.Off(), []Name{Fetch}) {
 		t.Errorf("off: %v", s.Off())
 	}
 	if len((Set{}).Off()) != 0 || !slices.IsSorted(All()) {
--- a/state/backends/backends.go
+++ b/state/backends/backends.go
@@ -17,31 +17,31 @@
 
 // Server is what a backend server says of itself.
 type Server struct {
-	ID       string
-	Born     int64 // start of this lifetime, in Unix milliseconds by its clock; 0 when not said
-	Service  string
-	Address  string
-	Domain   string
-	Region   string
-	Version  string
-	Slots    int
-	Draining bool
-	ColdFor  time.Duration // how much longer it is cold, from when it said so
-	TimeLeft time.Duration // until it is taken away; 0 when no notice was given
+	ID            string
+	StartUnixMs   int64 // start of this lifetime, in Unix milliseconds by its clock; 0 when not said
+	Service       string
+	Address       string
+	Domain        string
+	Region        string
+	Version       string
+	Slots         int
+	Draining      bool
+	ColdRemaining time.Duration // how much longer it is cold, from when it said so
+	TimeLeft      time.Duration // until it is taken away; 0 when no notice was given
 }
 
 // Entry is a server with what the table knows beside its own words.
 type Entry struct {
 	Server
-	Lifetime  uint64 // differs between lifetimes of one id
-	ColdUntil time.Time
-	GoneAt    time.Time // when it is taken away; zero when no notice was given
-	missing   time.Time // since when its entry is missing; zero while it is there
+	Incarnation uint64 // differs between lifetimes of one id
+	ColdUntil   time.Time
+	RemovalTime time.Time // when it is taken away; zero when no notice was given
+	missing     time.Time // since when its entry is missing; zero while it is there
 }
 
 // Usable tells whether the server may be sent new work.
 func (e *Entry) Usable(now time.Time) bool {
-	return !e.Draining && (e.GoneAt.IsZero() || now.Before(e.GoneAt))
+	return !e.Draining && (e.RemovalTime.IsZero() || now.Before(e.RemovalTime))
 }
 
 // Table is safe for concurrent use.
@@ -74,17 +74,17 @@
 	defer t.mu.Unlock()
 	t.version++
 	known := t.entries[s.ID]
-	if known == nil || known.Born != s.Born || known.Address != s.Address {
+	if known == nil || known.StartUnixMs != s.StartUnixMs || known.Address != s.Address {
 		t.lifetimes++
-		known = &Entry{Lifetime: t.lifetimes}
+		known = &Entry{Incarnation: t.lifetimes}
 	}
 	next := *known
 	next.Server, next.missing = s, time.Time{}
-	if s.ColdFor > 0 {
-		next.ColdUntil = now.Add(s.ColdFor)
+	if s.ColdRemaining > 0 {
+		next.ColdUntil = now.Add(s.ColdRemaining)
 	}
-	if s.TimeLeft > 0 && next.GoneAt.IsZero() {
-		next.GoneAt = now.Add(s.TimeLeft)
+	if s.TimeLeft > 0 && next.RemovalTime.IsZero() {
+		next.RemovalTime = now.Add(s.TimeLeft)
 	}
 	t.entries[s.ID] = &next
 }
@@ -108,8 +108,8 @@
 	delete(t.entries, id)
 }
 
-// StoreAway takes in whether the store is out of reach.
-func (t *Table) StoreAway(away bool, now time.Time) {
+// SetStoreUnreachable takes in whether the store is out of reach.
+func (t *Table) SetStoreUnreachable(away bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.away && !away {
@@ -133,12 +133,12 @@
 	}
 }
 
-// Misdirected takes in that another server answers at the address of this one: it
+// RemoveReplaced takes in that another server answers at the address of this one: it
 // has ended, and its address was given away.
-func (t *Table) Misdirected(id string, lifetime uint64) {
+func (t *Table) RemoveReplaced(id string, lifetime uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.entries[id]; known != nil && known.Lifetime == lifetime {
+	if known := t.entries[id]; known != nil && known.Incarnation == lifetime {
 		delete(t.entries, id)
 		t.version++
 	}
--- a/state/backends/backends_test.go
+++ b/state/backends/backends_test.go
@@ -8,7 +8,7 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func server(id string) Server {
-	return Server{ID: id, Born: 1, Service: "lm", Address: "192.0.2.1:1", Domain: "suva-a", Region: "viti-levu"}
+	return Server{ID: id, StartUnixMs: 1, Service: "lm", Address: "192.0.2.1:1", Domain: "suva-a", Region: "viti-levu"}
 }
 
 func usable(t *Table, now time.Time) map[string]Entry {
@@ -26,9 +26,9 @@
 	table := New()
 	table.Put(server("lives"), start)
 	table.Put(server("gone"), start)
-	table.StoreAway(true, start)
+	table.SetStoreUnreachable(true, start)
 	back := start.Add(5 * time.Second)
-	table.StoreAway(false, back)
+	table.SetStoreUnreachable(false, back)
 	table.Remove("lives", back)
 	table.Remove("gone", back)
 	if got := usable(table, back); len(got) != 2 {
@@ -51,20 +51,20 @@
 	table := New()
 	first := server("s")
 	table.Put(first, start)
-	before := usable(table, start)["s"].Lifetime
+	before := usable(table, start)["s"].Incarnation
 	first.Draining = true
 	table.Put(first, start)
 	if len(usable(table, start)) != 0 {
 		t.Error("a draining server may be sent work")
 	}
 	again := server("s")
-	again.Born, again.ColdFor = 2, time.Second
+	again.StartUnixMs, again.ColdRemaining = 2, time.Second
 	table.Put(again, start)
 	e := usable(table, start)["s"]
-	if e.Lifetime == before || e.Lifetime == 0 || !e.ColdUntil.Equal(start.Add(time.Second)) {
+	if e.Incarnation == before || e.Incarnation == 0 || !e.ColdUntil.Equal(start.Add(time.Second)) {
 		t.Errorf("born again: %+v, the lifetime before was %d", e, before)
 	}
-	table.Misdirected("s", before)
+	table.RemoveReplaced("s", before)
 	if len(usable(table, start)) != 1 {
 		t.Error("word of the former lifetime removed the present one")
 	}
--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -25,7 +25,7 @@
 	After    int64 // 0 for everything
 	Revision int64
 	Items    []Item
-	Whole    bool // Items are all that exist: what is missing was removed
+	Full     bool // Items are all that exist: what is missing was removed
 }
 
 // Mirror is safe for concurrent use.
@@ -52,7 +52,7 @@
 func (m *Mirror) Apply(d Delta) []Item {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if d.Whole {
+	if d.Full {
 		return m.replace(d)
 	}
 	if d.After > m.revision || m.revision == 0 {
@@ -115,9 +115,9 @@
 func (m *Mirror) Since(revision int64) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := Delta{After: revision, Revision: m.revision, Whole: revision < m.base || revision == 0}
+	d := Delta{After: revision, Revision: m.revision, Full: revision < m.base || revision == 0}
 	for _, item := range m.items {
-		if d.Whole && !item.Removed || !d.Whole && item.Revision > revision {
+		if d.Full && !item.Removed || !d.Full && item.Revision > revision {
 			d.Items = append(d.Items, item)
 		}
 	}
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -27,7 +27,7 @@
 }
 
 func (h history) list(revision int64) Delta {
-	d := Delta{Revision: revision, Whole: true}
+	d := Delta{Revision: revision, Full: true}
 	for _, item := range h.at(revision) {
 		d.Items = append(d.Items, item)
 	}
--- a/state/requests/requests.go
+++ b/state/requests/requests.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Withdraw cuts every request of a key.
-func (t *Table) Withdraw(keyID string) {
+// CancelKey cuts every request of a key.
+func (t *Table) CancelKey(keyID string) {
 	s := t.shard(keyID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +105,8 @@
 	}
 }
 
-// Cut ends every request for a reason.
-func (t *Table) Cut(reason *refusal.Refusal) {
+// CancelAll ends every request for a reason.
+func (t *Table) CancelAll(reason *refusal.Refusal) {
 	for i := range t.shards {
 		t.shards[i].cut(reason)
 	}
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -24,20 +24,20 @@
 
 // Route brings the requests of a host and path prefix to a service.
 type Route struct {
-	Name         string
-	Host         string
-	PathPrefix   string // begins and ends with a slash
-	Kind         Kind
-	Timeout      time.Duration // longest time a caller is kept waiting; 0 for none
-	Objective    time.Duration // latency objective, of streams to the first event; 0 for none
-	GapObjective time.Duration // longest pause between events; 0 for none
-	Priority     int           // 0 is the most urgent
-	Targets      []Target
-	MaxAttempts  int // backend servers that one attempt of a caller may be sent to
-	Public       bool
-	Prompts      bool // requests name the parts of a prompt
-	Resumable    bool // a stream may go on at another server
-	Homes        []string
+	Name              string
+	Host              string
+	PathPrefix        string // begins and ends with a slash
+	Kind              Kind
+	Timeout           time.Duration // longest time a caller is kept waiting; 0 for none
+	Objective         time.Duration // latency objective, of streams to the first event; 0 for none
+	GapObjective      time.Duration // longest pause between events; 0 for none
+	Priority          int           // 0 is the most urgent
+	Targets           []Target
+	MaxAttempts       int // backend servers that one attempt of a caller may be sent to
+	Public            bool
+	HasPromptSegments bool // requests name the parts of a prompt
+	Resumable         bool // a stream may go on at another server
+	HomeRegions       []string
 }
 
 // Target is a service with the weight of its part of the route's requests.
@@ -51,8 +51,8 @@
 	return r.Kind == KindIdempotent || r.Kind == KindStreaming && r.Resumable
 }
 
-// Target returns the service for a request. The same request id gives the same one.
-func (r *Route) Target(requestID string) string {
+// PickService returns the service for a request. The same request id gives the same one.
+func (r *Route) PickService(requestID string) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -105,7 +105,7 @@
 	Burst       float64
 	CountTokens bool // rate and burst count tokens, and not requests
 	PlainTokens float64
-	Homes       []string
+	HomeRegions []string
 }
 
 // KeyHash is the SHA-256 of a caller's key.
@@ -145,17 +145,17 @@
 	return nil
 }
 
-// HostHomes returns the regions that are homes of every route of the host that has
+// HostHomeRegions returns the regions that are homes of every route of the host that has
 // homes; nil when none has.
-func (c *Config) HostHomes(host string) []string {
+func (c *Config) HostHomeRegions(host string) []string {
 	var homes []string
 	for _, r := range c.byHost[host] {
 		switch {
-		case len(r.Homes) == 0:
+		case len(r.HomeRegions) == 0:
 		case homes == nil:
-			homes = r.Homes
+			homes = r.HomeRegions
 		default:
-			homes = intersect(homes, r.Homes)
+			homes = intersect(homes, r.HomeRegions)
 		}
 	}
 	return homes
@@ -175,17 +175,17 @@
 func AllowedRegions(r *Route, a *Account) (homes []string, anywhere bool) {
 	var own []string
 	if a != nil {
-		own = a.Homes
+		own = a.HomeRegions
 	}
 	switch {
-	case len(r.Homes) == 0 && len(own) == 0:
+	case len(r.HomeRegions) == 0 && len(own) == 0:
 		return nil, true
 	case len(own) == 0:
-		return r.Homes, false
-	case len(r.Homes) == 0:
+		return r.HomeRegions, false
+	case len(r.HomeRegions) == 0:
 		return own, false
 	}
-	return intersect(r.Homes, own), false
+	return intersect(r.HomeRegions, own), false
 }
 
 func intersect(a, b []string) []string {
--- a/state/routes/routes_test.go
+++ b/state/routes/routes_test.go
@@ -12,10 +12,10 @@
 		Version: version,
 		Routes: []Route{
 			{Name: "all", Host: "h", PathPrefix: "/"},
-			{Name: "a", Host: "h", PathPrefix: "/a/", Homes: []string{"x", "y"}},
-			{Name: "ab", Host: "h", PathPrefix: "/a/b/", Homes: []string{"y", "z"}, Targets: []Target{{"one", 90}, {"two", 10}}},
+			{Name: "a", Host: "h", PathPrefix: "/a/", HomeRegions: []string{"x", "y"}},
+			{Name: "ab", Host: "h", PathPrefix: "/a/b/", HomeRegions: []string{"y", "z"}, Targets: []Target{{"one", 90}, {"two", 10}}},
 		},
-		Accounts: map[string]*Account{"acme": {Name: "acme", Homes: []string{"y"}}},
+		Accounts: map[string]*Account{"acme": {Name: "acme", HomeRegions: []string{"y"}}},
 		Keys:     map[KeyHash]string{sha256.Sum256([]byte("k")): "acme", sha256.Sum256([]byte("lost")): "nobody"},
 	}
 }
@@ -49,7 +49,7 @@
 	r := testConfig(1).Routes[2]
 	counts := map[string]int{}
 	for i := range 10_000 {
-		counts[r.Target(fmt.Sprint(i))]++
+		counts[r.PickService(fmt.Sprint(i))]++
 	}
 	if counts["one"] < 8800 || counts["one"] > 9200 || counts["one"]+counts["two"] != 10_000 {
 		t.Errorf("%v", counts)
@@ -69,13 +69,13 @@
 			t.Errorf("%s: %v, %t", c.Routes[route].Name, homes, anywhere)
 		}
 	}
-	if homes, _ := AllowedRegions(&Route{Homes: []string{"x"}}, account); len(homes) != 0 {
+	if homes, _ := AllowedRegions(&Route{HomeRegions: []string{"x"}}, account); len(homes) != 0 {
 		t.Errorf("homes that exclude each other: %v", homes)
 	}
 	if _, anywhere := AllowedRegions(&c.Routes[0], nil); !anywhere {
 		t.Error("a request without homes is bound")
 	}
-	if homes := c.HostHomes("h"); !slices.Equal(homes, []string{"y"}) {
+	if homes := c.HostHomeRegions("h"); !slices.Equal(homes, []string{"y"}) {
 		t.Errorf("homes of the host: %v", homes)
 	}
 }
--- a/state/servers/entry.go
+++ b/state/servers/entry.go
@@ -27,23 +27,23 @@
 // Facts is what decisions read of a server for every request, worked out when
 // the view changes. Times are in nanoseconds since 1970, durations in seconds.
 type Facts struct {
-	Usable        bool
-	EjectedUntil  int64
-	ReportedAt    int64
-	Since         int64
-	PrefillRate   float64 // prompt tokens per second; 0 when not known
-	StepTime      float64 // to give each running request a token
-	Drain         float64 // for what waits in the server to start
-	Others        float64 // requests of other instances
-	WaitingTokens float64
-	Factor        float64 // measured against expected time to the first token
+	Usable         bool
+	EjectedUntil   int64
+	ReportedAt     int64
+	Since          int64
+	PrefillRate    float64 // prompt tokens per second; 0 when not known
+	StepTime       float64 // to give each running request a token
+	QueueDrainTime float64 // for what waits in the server to start
+	OtherRequests  float64 // requests of other instances
+	WaitingTokens  float64
+	LatencyFactor  float64 // measured against expected time to the first token
 }
 
 func factsOf(s *Server) Facts {
 	f := Facts{
 		Usable: s.Usable(), EjectedUntil: s.EjectedUntil.UnixNano(), ReportedAt: s.Load.At.UnixNano(),
 		Since: s.Since.UnixNano(), PrefillRate: s.Load.PrefillRate, WaitingTokens: float64(s.Load.WaitingTokens),
-		Others: float64(max(s.Load.Running+s.Load.Waiting-s.OwnAtReport, 0)), Factor: s.LatencyFactor,
+		OtherRequests: float64(max(s.Load.Running+s.Load.Waiting-s.OwnAtReport, 0)), LatencyFactor: s.LatencyFactor,
 	}
 	if s.EjectedUntil.IsZero() {
 		f.EjectedUntil = 0
@@ -52,7 +52,7 @@
 		f.StepTime = float64(s.Load.Running) / s.Load.DecodeRate
 	}
 	if s.Load.Waiting > 0 && s.Load.Running > 0 {
-		f.Drain = float64(s.Load.Waiting) * s.MeanDuration.Seconds() / float64(s.Load.Running)
+		f.QueueDrainTime = float64(s.Load.Waiting) * s.MeanDuration.Seconds() / float64(s.Load.Running)
 	}
 	return f
 }
@@ -100,8 +100,8 @@
 	e.pending.Add(int64(promptTokens))
 }
 
-// Started takes off the prompt tokens: the first token has come, or never will.
-func (e *Entry) Started(promptTokens int) { e.pending.Add(-int64(promptTokens)) }
+// EndPrefill takes off the prompt tokens: the first token has come, or never will.
+func (e *Entry) EndPrefill(promptTokens int) { e.pending.Add(-int64(promptTokens)) }
 
 // End is the counterpart of Begin.
 func (e *Entry) End(bulk bool) {
@@ -132,22 +132,22 @@
 	e.bulkLimit.Store(int64(bulk))
 }
 
-// Measured replaces what this instance measured of the server: how long a
+// SetMeasurements replaces what this instance measured of the server: how long a
 // request lasts, and how the time to the first token compares with the expected one.
-func (e *Entry) Measured(duration time.Duration, factor float64) {
+func (e *Entry) SetMeasurements(duration time.Duration, factor float64) {
 	e.change(func(server *Server) {
 		server.MeanDuration, server.LatencyFactor = duration, factor
 	})
 }
 
-// Erred counts a failed request and returns how many failed in a row.
-func (e *Entry) Erred() int {
+// RecordError counts a failed request and returns how many failed in a row.
+func (e *Entry) RecordError() int {
 	e.change(func(server *Server) { server.Errors++ })
 	return e.View().Errors
 }
 
-// Recovered notes an answer: the server is no outlier any more.
-func (e *Entry) Recovered() {
+// RecordSuccess notes an answer: the server is no outlier any more.
+func (e *Entry) RecordSuccess() {
 	if v := e.View(); v.Ejections == 0 && v.Errors == 0 {
 		return
 	}
--- a/state/servers/servers.go
+++ b/state/servers/servers.go
@@ -192,9 +192,9 @@
 	})
 }
 
-// Failed notes that a call to the server failed. After enough failures in a row
+// RecordCallFailure notes that a call to the server failed. After enough failures in a row
 // it counts as not polled, until it reports again.
-func (t *Table) Failed(service, id string, limit int) {
+func (t *Table) RecordCallFailure(service, id string, limit int) {
 	t.update(service, id, func(server *Server) {
 		server.Failures++
 		if server.Failures >= limit {
@@ -203,9 +203,9 @@
 	})
 }
 
-// Ended notes that the process with a boot id is gone. The server gets no new
+// MarkProcessEnded notes that the process with a boot id is gone. The server gets no new
 // work until it reports again.
-func (t *Table) Ended(id, bootID string) {
+func (t *Table) MarkProcessEnded(id, bootID string) {
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.RLock()
@@ -262,8 +262,8 @@
 	return s.servers[id]
 }
 
-// Of returns copies of a service's servers, ordered by id.
-func (t *Table) Of(service string) []Server {
+// ByService returns copies of a service's servers, ordered by id.
+func (t *Table) ByService(service string) []Server {
 	var out []Server
 	for _, entry := range t.Entries(service) {
 		out = append(out, entry.Copy())
--- a/transport/claim/claim.go
+++ b/transport/claim/claim.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRun(refusal.Unknown)
 	}
-	return once.Standing(found, hash, c.outcomes.Run(found.Nonce))
+	return once.DuplicateRefusal(found, hash, c.outcomes.Run(found.Nonce))
 }
 
 // Ended notes how the claimed operation ended. One that has certainly not run
@@ -243,7 +243,7 @@
 		return foundNothing
 	}
 	claim, err := once.Decode(kv.Value)
-	if err != nil || !claim.Mine(h.nonce) {
+	if err != nil || !claim.HasNonce(h.nonce) {
 		return foundOther
 	}
 	h.revision = kv.Revision
--- a/transport/claim/claim_test.go
+++ b/transport/claim/claim_test.go
@@ -301,7 +301,7 @@
 	if _, refused := once.ParseKey(youngest, now); refused != nil {
 		t.Fatal(refused)
 	}
-	lastUse := now.Add(-once.LeaseUse)
+	lastUse := now.Add(-once.LeaseReusePeriod)
 	ends := lastUse.Add(once.LeaseTTL)
 	if _, refused := once.ParseKey(youngest, ends.Add(-once.MaxSkew+time.Millisecond)); refused == nil {
 		t.Error("the key is accepted after its claim has ended")
--- a/transport/dispatch/crash.go
+++ b/transport/dispatch/crash.go
@@ -22,7 +22,7 @@
 	if ctx.Err() != nil || r.Code != refusal.CodeBackendFailed {
 		return
 	}
-	l.Servers.Failed(w.Service, server.ID, failureLimit)
+	l.Servers.RecordCallFailure(w.Service, server.ID, failureLimit)
 	if r.Run != refusal.Unknown {
 		return
 	}
@@ -41,9 +41,9 @@
 	case err == nil && load.BootID == before:
 		return
 	case err == nil || errors.Is(err, syscall.ECONNREFUSED):
-		l.Quarantine.Crashed(w.identity(), server.ID, before, now)
+		l.Quarantine.RecordCrash(w.identity(), server.ID, before, now)
 	default:
-		l.Quarantine.Presume(w.identity(), server.ID, before, now)
+		l.Quarantine.PresumeCrash(w.identity(), server.ID, before, now)
 	}
 }
 
--- a/transport/dispatch/front.go
+++ b/transport/dispatch/front.go
@@ -84,7 +84,7 @@
 	if svc == nil {
 		return refusal.New(refusal.CodeNotFound, "no service %q", w.Service)
 	}
-	if until, refused := f.Quarantine.Refused(w.identity(), time.Now()); refused {
+	if until, refused := f.Quarantine.Quarantined(w.identity(), time.Now()); refused {
 		return quarantined(until)
 	}
 	cost := w.Cost(svc)
--- a/transport/dispatch/local.go
+++ b/transport/dispatch/local.go
@@ -112,7 +112,7 @@
 	settled, judged := false, false
 	for {
 		now := time.Now()
-		if until, refused := l.Quarantine.Refused(fingerprint, now); refused {
+		if until, refused := l.Quarantine.Quarantined(fingerprint, now); refused {
 			return nil, quarantined(until)
 		}
 		if !l.Quarantine.Suspected(fingerprint, now) {
--- a/transport/dispatch/measure.go
+++ b/transport/dispatch/measure.go
@@ -40,7 +40,7 @@
 	}
 	m.begun = true
 	m.latency = time.Since(m.sent)
-	m.placed.entry.Started(m.placed.prompt)
+	m.placed.entry.EndPrefill(m.placed.prompt)
 }
 
 // first notes the first part of the answer.
--- a/transport/dispatch/poison_test.go
+++ b/transport/dispatch/poison_test.go
@@ -36,7 +36,7 @@
 		second.tried = []string{"s1"}
 		go func() {
 			time.Sleep(probeTimeout / 2)
-			l.Quarantine.Crashed(first.identity(), "s1", "boot", time.Now())
+			l.Quarantine.RecordCrash(first.identity(), "s1", "boot", time.Now())
 			l.Isolation.End(run)
 		}()
 		if p, _ := l.place(t.Context(), second, svc); p != nil {
--- a/transport/httproute/choose.go
+++ b/transport/httproute/choose.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	running, slots := pool.Occupancy(now)
-	if !f.Features.On(features.LeaveByRoom) {
+	if !f.Features.On(features.SpillByOccupancy) {
 		running = 0
 	}
 	own := spill.Occupancy{Running: running, Slots: slots, Slowed: pool.Slowed(now)}
--- a/transport/httproute/choose_test.go
+++ b/transport/httproute/choose_test.go
@@ -25,7 +25,7 @@
 	f.Remotes = regions{{Region: "away", Servers: 2, Running: 90}, {Region: "home", Servers: 2, Running: 10}}
 	pool := f.Local.Pool("svc")
 	server := func(id string) []backends.Entry {
-		return []backends.Entry{{Server: backends.Server{ID: id, Address: id + ":1", Slots: 8}, Lifetime: 1}}
+		return []backends.Entry{{Server: backends.Server{ID: id, Address: id + ":1", Slots: 8}, Incarnation: 1}}
 	}
 	pool.Update(placement.Settings{Engine: true, Slots: 8, CacheTokens: 100_000, FetchTime: 1e-6}, server("own"))
 	pool.UpdateFar("away", server("away"))
@@ -47,7 +47,7 @@
 		{[]string{"r", "home"}, "home:1", "own:1"},
 		{[]string{"home"}, "home:1", ""},
 	} {
-		r.route.Homes = c.homes
+		r.route.HomeRegions = c.homes
 		homes, anywhere := routes.AllowedRegions(r.route, nil)
 		if got := f.farSource(r, pool, homes, anywhere).Address; got != c.source {
 			t.Errorf("homes %v: fetches from %q, want %q", c.homes, got, c.source)
@@ -64,7 +64,7 @@
 	f, _ := gatewayOver(t)
 	f.Remotes = regions{{Region: "idle", Servers: 1, Room: 100}}
 	pool := f.Local.Pool("svc")
-	pool.Update(placement.Settings{Engine: true, Slots: 8}, []backends.Entry{{Server: backends.Server{ID: "own", Slots: 8}, Lifetime: 1}})
+	pool.Update(placement.Settings{Engine: true, Slots: 8}, []backends.Entry{{Server: backends.Server{ID: "own", Slots: 8}, Incarnation: 1}})
 	now := time.Now()
 	r := &request{route: &routes.Route{}, service: "svc"}
 	r.work = placement.Work{Tokens: 10, Arrived: now, Deadline: now.Add(time.Minute)}
@@ -76,7 +76,7 @@
 	if f.early(r, pool, nil, true, now) == nil {
 		t.Error("stays in a full region beside an idle one")
 	}
-	f.Features = features.NewSet(map[features.Name]bool{features.LeaveByRoom: false})
+	f.Features = features.NewSet(map[features.Name]bool{features.SpillByOccupancy: false})
 	if f.early(r, pool, nil, true, now) != nil {
 		t.Error("leaves although leaving by room is off")
 	}
--- a/transport/httproute/forward.go
+++ b/transport/httproute/forward.go
@@ -194,7 +194,7 @@
 	if p.Stopping() || p.Routes.Current() == nil {
 		return &failure{run: notRun, reason: reasonStopping}
 	}
-	if until, bad := p.Local.Quarantine.Refused(o.print, time.Now()); bad {
+	if until, bad := p.Local.Quarantine.Quarantined(o.print, time.Now()); bad {
 		return &failure{run: notRun, reason: reasonQuarantine, retryAfter: time.Until(until)}
 	}
 	choice := p.Local.Pool(o.service).Place(o.work, time.Now())
--- a/transport/httproute/front.go
+++ b/transport/httproute/front.go
@@ -163,7 +163,7 @@
 	if f.Stopping() || f.outlasts(r) {
 		return nil, &failure{run: notRun, reason: reasonStopping, retryAfter: leastRetryAfter}
 	}
-	r.service = route.Target(r.RequestID)
+	r.service = route.PickService(r.RequestID)
 	if len(config.Accounts) > 0 && !route.Public {
 		if r.account = config.Authenticate(r.Key); r.account == nil {
 			return r, &failure{run: notRun, reason: reasonKey}
@@ -266,7 +266,7 @@
 // serve charges a request and runs it. The failure is nil when the caller got an
 // answer.
 func (f *Front) serve(w http.ResponseWriter, hr *http.Request, r *request) *failure {
-	if until, bad := f.Quarantine.Refused(r.print, r.arrived); bad {
+	if until, bad := f.Quarantine.Quarantined(r.print, r.arrived); bad {
 		return &failure{run: notRun, reason: reasonQuarantine, retryAfter: time.Until(until)}
 	}
 	ctx, cancel := context.WithDeadline(hr.Context(), r.deadline)
--- a/transport/httproute/local.go
+++ b/transport/httproute/local.go
@@ -158,7 +158,7 @@
 	}
 	switch {
 	case verdict.Misdirected:
-		l.Backends.Misdirected(placed.Server.ID, placed.Server.Lifetime)
+		l.Backends.RemoveReplaced(placed.Server.ID, placed.Server.Incarnation)
 		l.Log.Info("server_gone", "server", placed.Server.ID, "request", o.id, "why", "another server answers at its address")
 		r.end(placement.OutcomeDown)
 		return nil, &failure{run: notRun, reason: reasonShed, server: r.server, sent: true}
@@ -226,7 +226,7 @@
 		}
 		now := time.Now()
 		l.Pool(o.service).Down(placed, now)
-		l.Quarantine.Crashed(o.print, placed.Server.ID, lifetimeName(placed), now)
+		l.Quarantine.RecordCrash(o.print, placed.Server.ID, lifetimeName(placed), now)
 		l.Log.Info("server_crashed", "request", o.id, "server", placed.Server.ID, "fingerprint", o.print)
 	}()
 }
@@ -236,5 +236,5 @@
 
 // lifetimeName names a lifetime alike at all instances.
 func lifetimeName(placed *placement.Placement) string {
-	return time.UnixMilli(placed.Server.Born).UTC().Format(time.RFC3339Nano)
+	return time.UnixMilli(placed.Server.StartUnixMs).UTC().Format(time.RFC3339Nano)
 }
