--- a/instance/domains.go
+++ b/instance/domains.go
@@ -27,8 +27,8 @@
 	domains []routing.Domain
 }
 
-// Own implements dispatch.Domains.
-func (i *Instance) Own(name string) routing.Domain {
+// Local implements dispatch.Domains.
+func (i *Instance) Local(name string) routing.Domain {
 	own := routing.Domain{
 		Name: i.settings.Domain, Region: i.settings.Region,
 		PeerID: i.settings.ID, PeerHash: xxhash.Sum64String(i.settings.ID),
@@ -51,8 +51,8 @@
 	return routing.Queue{ExpectedWait: s.ExpectedWait, HasRoom: s.HasRoom, Room: s.Room}
 }
 
-// Others implements dispatch.Domains.
-func (i *Instance) Others(name string) []routing.Domain {
+// Peers implements dispatch.Domains.
+func (i *Instance) Peers(name string) []routing.Domain {
 	now := time.Now()
 	i.views.mu.Lock()
 	defer i.views.mu.Unlock()
@@ -120,10 +120,10 @@
 
 // Serves tells whether some failure domain has a usable server of the service.
 func (i *Instance) Serves(name string) bool {
-	if i.Own(name).Servers > 0 {
+	if i.Local(name).Servers > 0 {
 		return true
 	}
-	for _, d := range i.Others(name) {
+	for _, d := range i.Peers(name) {
 		if d.Servers > 0 {
 			return true
 		}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -54,14 +54,14 @@
 	forwarded  *requests.Table
 	ledger     *quota.Ledger
 	slots      *slotKeeper
-	lending    *lending.Loop
+	lending    *lending.Borrower
 	retries    *retry.Budget
 	quarantine *quarantine.List
 
 	platform *platform.Client
 	backend  *backend.Client
 	pool     *peer.Pool
-	local    *dispatch.Local
+	local    *dispatch.LocalDispatcher
 	front    *dispatch.Front
 	claims   *claim.Claimer
 
@@ -196,16 +196,16 @@
 	}
 	i.pool = peer.NewPool(creds)
 	i.pool.Revision = i.config.Revision
-	i.lending = &lending.Loop{Ledger: i.ledger, Pool: i.pool, Self: i.member, Lenders: i.lenders}
+	i.lending = &lending.Borrower{Ledger: i.ledger, Pool: i.pool, Self: i.member, Lenders: i.lenders}
 	i.claims = claim.New(i.background, i.platform, i.settings.ID, i.log)
-	i.local = &dispatch.Local{
+	i.local = &dispatch.LocalDispatcher{
 		Catalog: i.catalog, Servers: i.servers, Backend: i.backend, Quarantine: i.quarantine,
-		Admission: dispatch.NewAdmission(i.servers), Prefixes: dispatch.NewPrefixes(i.settings.Region),
+		Admission: dispatch.NewAdmission(i.servers), Prefixes: dispatch.NewPrefixIndexes(i.settings.Region),
 		Isolation: quarantine.NewIsolation(), Metrics: i.metrics, Claims: i.claims,
 	}
 	i.front = &dispatch.Front{
 		Region: i.settings.Region, Domain: i.settings.Domain, Catalog: i.catalog, Ledger: i.ledger,
-		Retries: i.retries, Quarantine: i.quarantine, Known: i, Router: routing.NewRouter(i.settings.Region, i.settings.Domain),
+		Retries: i.retries, Quarantine: i.quarantine, Domains: i, Router: routing.NewRouter(i.settings.Region, i.settings.Domain),
 		Local: i.local, Forwarder: &dispatch.Resumer{Next: i.pool, Peers: i.peersBeside}, Log: i.log, Metrics: i.metrics,
 	}
 	return i.wireServers(creds)
--- a/instance/poll.go
+++ b/instance/poll.go
@@ -53,7 +53,7 @@
 	if entry == nil {
 		return
 	}
-	i.local.Admission.Reported(entry, svc, time.Now())
+	i.local.Admission.ApplyReport(entry, svc, time.Now())
 	if svc.Type == service.TypeModel {
 		i.pollCache(ctx, entry)
 	}
@@ -77,7 +77,7 @@
 		routing.EjectSlow(i.servers, svc.Name, now)
 		i.local.Admission.Refresh(svc, now)
 	}
-	i.local.Admission.Forget()
+	i.local.Admission.PruneLimiters()
 }
 
 // publishLoad sums up the own domain's servers in the instance's entry.
--- a/instance/quota.go
+++ b/instance/quota.go
@@ -19,8 +19,8 @@
 // lend keeps the ledger going: documents, waiting requests and loans from peers.
 func (i *Instance) lend(ctx context.Context) {
 	known := int64(-1)
-	i.lending.Looked = func(now time.Time) { i.ledger.Acknowledged(i.acknowledged(now), now) }
-	i.lending.Update = func(now time.Time) { known = i.updateLedger(known, now) }
+	i.lending.OnRefresh = func(now time.Time) { i.ledger.Acknowledged(i.acknowledged(now), now) }
+	i.lending.ApplyDocuments = func(now time.Time) { known = i.updateLedger(known, now) }
 	i.lending.Run(ctx)
 }
 
--- a/instance/routed/members.go
+++ b/instance/routed/members.go
@@ -168,7 +168,7 @@
 	now := time.Now()
 	resp := n.members.Respond(req, now)
 	if req.GetLentBefore() {
-		resp.Owes = n.ledger.Owes(req.GetFrom(), now) || n.lending.OpenTo(req.GetFrom())
+		resp.Owes = n.ledger.Owes(req.GetFrom(), now) || n.lending.HasOpenCall(req.GetFrom())
 	}
 	if req.GetView() == nil {
 		return resp
@@ -220,9 +220,9 @@
 	n.liveSize.Store(int64(fleet))
 }
 
-// Instances implements httproute.Remotes. The fleet counts those too that cannot be
+// InstanceCounts implements httproute.Remotes. The fleet counts those too that cannot be
 // reached: they go on spending their part of what is shared.
-func (n *Node) Instances() (fleet, region int) {
+func (n *Node) InstanceCounts() (fleet, region int) {
 	return int(max(n.fleetSize.Load(), 1)), max(len(*n.regional.Load()), 1)
 }
 
--- a/instance/routed/node.go
+++ b/instance/routed/node.go
@@ -48,12 +48,12 @@
 	shares     *quotashare.Keeper
 	features   features.Set
 	quarantine *quarantine.List
-	local      *httproute.Local
+	local      *httproute.LocalDispatcher
 	front      *httproute.Front
 	relay      *httproute.Peer
 	pool       *peer.Pool
-	lending    *lending.Loop
-	caster     *loadcast.Caster
+	lending    *lending.Borrower
+	caster     *loadcast.Broadcaster
 
 	config, servers *follower
 	followers       []*follower
@@ -183,7 +183,7 @@
 	n.copies = newCopyMetrics(n.registry)
 	n.registerVersions()
 	metrics := httproute.NewMetrics(n.registry)
-	n.local = &httproute.Local{
+	n.local = &httproute.LocalDispatcher{
 		Codec: n.codec, Backends: n.backends, Quarantine: n.quarantine, Log: n.log, Metrics: metrics,
 		Client: backendhttp.New(backendhttp.Settings{DialTimeout: serverDialTimeout, UserTimeout: userTimeout, MaxIdle: maxIdleConns}),
 	}
@@ -191,18 +191,18 @@
 		Region: n.settings.Region, Codec: n.codec, Routes: n.routes, Ledger: n.ledger, Quarantine: n.quarantine,
 		Retries: retry.NewWindow(retry.WindowSettings{Ratio: n.settings.Retry.Ratio, Slack: n.settings.Retry.Slack, Window: n.settings.Retry.Window}),
 		Remotes: n, Local: n.local, Log: n.log, Metrics: metrics, Features: n.features,
-		Starting: n.mayWait, Stopping: n.stopping.Load, Remaining: n.remaining, Leaving: n.leaving.Load,
+		Starting: n.mayWait, Stopping: n.stopping.Load, TimeToShutdown: n.remaining, Leaving: n.leaving.Load,
 		Peers: backendhttp.New(backendhttp.Settings{DialTimeout: peerDialTimeout, UserTimeout: userTimeout, MaxIdle: maxIdleConns}),
 	}
 	n.relay = &httproute.Peer{Codec: n.codec, Local: n.local, Routes: n.routes, Stopping: n.leaving.Load}
-	n.lending = &lending.Loop{
+	n.lending = &lending.Borrower{
 		Ledger: n.ledger, Pool: n.pool, Self: n.member, Lenders: n.lenders,
-		Looked: func(now time.Time) { n.ledger.Acknowledged(int64(n.shares.Size()), now) },
-		Update: n.updateHeld,
+		OnRefresh:      func(now time.Time) { n.ledger.Acknowledged(int64(n.shares.Size()), now) },
+		ApplyDocuments: n.updateHeld,
 	}
 	n.caster = loadcast.New(n.settings.ID, n.members.Self().GetIncarnation(),
 		loadhub.New(n.settings.ID, n.settings.Domain, int(n.settings.Link)))
-	n.caster.Digest, n.caster.Absorb = n.digest, n.absorb
+	n.caster.LoadReport, n.caster.ApplyReport = n.digest, n.absorb
 	n.callers = &http.Server{
 		Handler: n.counted(n.front), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
--- a/instance/routed/views.go
+++ b/instance/routed/views.go
@@ -62,14 +62,14 @@
 		m, word := members[rand.IntN(len(members))], latest[region]
 		remote := httproute.Remote{
 			Region: region, Instance: m.Entry.GetId(), Address: m.Entry.GetRelayAddress(),
-			RoundTrip: 2 * n.settings.Bounds.RegionDelay, Heard: word.LoadsReceivedAt,
+			RoundTrip: 2 * n.settings.Bounds.RegionDelay, ReportedAt: word.LoadsReceivedAt,
 		}
 		for _, load := range word.Loads {
 			if load.GetService() == service {
 				remote.Servers = int(load.GetServers())
-				remote.Running, remote.Room = int(load.GetInFlight()), int(load.GetRoom())
-				remote.Slowed = float64(load.GetSlowedPercent()) / 100
-				remote.Expected = time.Duration(load.GetExpectedWaitMs()) * time.Millisecond
+				remote.Running, remote.FreeSlots = int(load.GetInFlight()), int(load.GetRoom())
+				remote.StallFraction = float64(load.GetSlowedPercent()) / 100
+				remote.ExpectedFirstByte = time.Duration(load.GetExpectedWaitMs()) * time.Millisecond
 			}
 		}
 		out = append(out, remote)
@@ -81,8 +81,8 @@
 // of its region: until the members know better.
 const avoidFor = 2 * time.Second
 
-// Unreached implements httproute.Remotes.
-func (n *Node) Unreached(instance string) { n.avoided.Store(instance, n.uptime()) }
+// MarkUnreachable implements httproute.Remotes.
+func (n *Node) MarkUnreachable(instance string) { n.avoided.Store(instance, n.uptime()) }
 
 func (n *Node) unreachedJustNow(m membership.Member) bool {
 	at, ok := n.avoided.Load(m.Entry.GetId())
--- a/localfleet/poison_test.go
+++ b/localfleet/poison_test.go
@@ -64,11 +64,11 @@
 
 // sees tells whether the instance knows usable servers here and in the other region.
 func sees(i *instance.Instance) bool {
-	if i.Own("notice-writer").Servers != 3 {
+	if i.Local("notice-writer").Servers != 3 {
 		return false
 	}
 	others := 0
-	for _, d := range i.Others("notice-writer") {
+	for _, d := range i.Peers("notice-writer") {
 		if d.Servers == 3 {
 			others++
 		}
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -22,7 +22,7 @@
 		return nil, errors.Wrap(err, "engine stand-in")
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", e.front(httpstream.Flush(api)))
+	mux.Handle("/v1/", e.front(httpstream.FlushHandler(api)))
 	mux.HandleFunc("PUT /admin/faults", func(w http.ResponseWriter, r *http.Request) {
 		var faults Faults
 		if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
--- a/transport/backendhttp/client.go
+++ b/transport/backendhttp/client.go
@@ -27,8 +27,8 @@
 	ErrRefused = errors.New("connection refused")
 	// ErrNotSent means that no byte of the request left.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrSilent means that the server said nothing for too long.
-	ErrSilent = errors.New("the server is silent")
+	// ErrIdleTimeout means that the server said nothing for too long.
+	ErrIdleTimeout = errors.New("the server is silent")
 	// ErrMalformed means that what arrived is no answer to the request.
 	ErrMalformed = errors.New("malformed answer")
 )
@@ -90,16 +90,16 @@
 
 // Options of one request.
 type Options struct {
-	Fresh   bool                      // only a new or just used connection: the request may not be repeated
-	Belongs func(*http.Response) bool // tells whether an answer is this request's
-	// Silence is how long the head of the answer is waited for before GiveUp is asked
+	FreshConn     bool                      // only a new or just used connection: the request may not be repeated
+	MatchResponse func(*http.Response) bool // tells whether an answer is this request's
+	// IdleTimeout is how long the head of the answer is waited for before GiveUp is asked
 	// whether to close the connection; 0 for as long as the context lasts.
-	Silence time.Duration
-	GiveUp  func() bool
+	IdleTimeout time.Duration
+	ShouldAbort func() bool
 }
 
-// Answer is an answer whose body is still to be read. Close has to be called.
-type Answer struct {
+// Response is an answer whose body is still to be read. Close has to be called.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the body's length, -1 when it is not known beforehand.
@@ -123,12 +123,12 @@
 
 // Do sends a request and reads the head of the answer. ctx covers the answer's body
 // too: when it ends the connection is closed.
-func (c *Client) Do(ctx context.Context, address string, r *Request, o Options) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, address string, r *Request, o Options) (*Response, error) {
 	if ctx.Err() != nil {
 		return nil, errors.Mark(ctx.Err(), ErrNotSent)
 	}
 	for {
-		cn, err := c.take(ctx, address, o.Fresh)
+		cn, err := c.take(ctx, address, o.FreshConn)
 		if err != nil {
 			return nil, err
 		}
@@ -141,8 +141,8 @@
 }
 
 // on runs a request on a connection.
-func (c *Client) on(ctx context.Context, cn *conn, address string, r *Request, o Options) (*Answer, error) {
-	a := &Answer{client: c, address: address, conn: cn, Reused: cn.reused}
+func (c *Client) on(ctx context.Context, cn *conn, address string, r *Request, o Options) (*Response, error) {
+	a := &Response{client: c, address: address, conn: cn, Reused: cn.reused}
 	cn.written = 0
 	a.stop = cn.watch(ctx)
 	var err error
@@ -153,17 +153,17 @@
 		}
 		return nil, errors.Wrap(err, "send")
 	}
-	if o.Silence > 0 {
-		a.CutAfter(o.Silence, o.GiveUp)
+	if o.IdleTimeout > 0 {
+		a.SetIdleTimeout(o.IdleTimeout, o.ShouldAbort)
 	}
-	a.resp, err = cn.answer(r.Method, o.Belongs)
+	a.resp, err = cn.answer(r.Method, o.MatchResponse)
 	if err != nil {
 		a.discard()
 		return nil, a.ended(errors.Wrap(err, "answer"))
 	}
-	if !a.Heard() {
+	if !a.ResetIdleTimer() {
 		a.discard()
-		return nil, errors.Mark(errors.New("answer: came as its connection was closed"), ErrSilent)
+		return nil, errors.Mark(errors.New("answer: came as its connection was closed"), ErrIdleTimeout)
 	}
 	a.Status, a.Header, a.Length = a.resp.StatusCode, a.resp.Header, a.resp.ContentLength
 	return a, nil
@@ -256,7 +256,7 @@
 
 // Read reads the body. It returns io.EOF only when the body was whole: one that is
 // delimited by the connection's end is whole unless the connection was reset.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.resp.Body.Read(b)
 	switch {
 	case err == io.EOF: // never wrapped here; io.ErrUnexpectedEOF is another error
@@ -265,15 +265,15 @@
 		return n, a.ended(err)
 	}
 	if n > 0 {
-		a.Heard()
+		a.ResetIdleTimer()
 	}
 	return n, err
 }
 
-// CutAfter asks giveUp whether to close the connection when nothing was heard for a
+// SetIdleTimeout asks giveUp whether to close the connection when nothing was heard for a
 // time. Reads then fail with ErrSilent. It is asked once; when it says no, the answer is
 // waited for as long as the context lasts.
-func (a *Answer) CutAfter(d time.Duration, giveUp func() bool) {
+func (a *Response) SetIdleTimeout(d time.Duration, giveUp func() bool) {
 	if a.silence != nil {
 		a.silence.Stop()
 	}
@@ -286,7 +286,7 @@
 	})
 }
 
-func (a *Answer) timesHeard() int {
+func (a *Response) timesHeard() int {
 	a.hearing.Lock()
 	defer a.hearing.Unlock()
 	return a.heard
@@ -294,7 +294,7 @@
 
 // cutUnlessHeard closes the connection, unless something came while giveUp was asked: the
 // caller may have the beginning of the answer by then.
-func (a *Answer) cutUnlessHeard(before int) {
+func (a *Response) cutUnlessHeard(before int) {
 	a.hearing.Lock()
 	defer a.hearing.Unlock()
 	if a.heard != before {
@@ -304,9 +304,9 @@
 	_ = a.conn.Close() // ends the read that waits
 }
 
-// Heard begins the time of CutAfter anew. It returns false when the connection has been
+// ResetIdleTimer begins the time of CutAfter anew. It returns false when the connection has been
 // closed for silence.
-func (a *Answer) Heard() bool {
+func (a *Response) ResetIdleTimer() bool {
 	a.hearing.Lock()
 	defer a.hearing.Unlock()
 	a.heard++
@@ -317,14 +317,14 @@
 }
 
 // ended marks the error of a read after the connection was closed for silence.
-func (a *Answer) ended(err error) error {
+func (a *Response) ended(err error) error {
 	if a.silence != nil {
 		a.silence.Stop()
 	}
 	a.hearing.Lock()
 	defer a.hearing.Unlock()
 	if a.silent {
-		return errors.Mark(err, ErrSilent)
+		return errors.Mark(err, ErrIdleTimeout)
 	}
 	return err
 }
@@ -332,7 +332,7 @@
 // Close ends the answer. The connection is kept when the body was read to its end
 // and nothing else arrived; otherwise it is closed, and the server drops what is
 // still running.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.silence != nil {
 		a.silence.Stop()
 	}
@@ -349,7 +349,7 @@
 
 // written tells whether the whole request left. A connection on which a rest of the
 // body is due would take the next request for it.
-func (a *Answer) written() bool {
+func (a *Response) written() bool {
 	if a.writing == nil {
 		return true
 	}
@@ -361,13 +361,13 @@
 	}
 }
 
-func (a *Answer) discard() {
+func (a *Response) discard() {
 	a.stop()
 	_ = a.conn.Close() // it failed
 }
 
-// Refuses tells whether nothing listens at an address.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+// ConnectionRefused tells whether nothing listens at an address.
+func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
 	cn, err := c.dial(ctx, address)
 	if err != nil {
 		return errors.Is(err, ErrRefused)
--- a/transport/backendhttp/client_test.go
+++ b/transport/backendhttp/client_test.go
@@ -66,7 +66,7 @@
 }
 
 func belongs(id string) Options {
-	return Options{Belongs: func(r *http.Response) bool { return r.Header.Get("Id") == id }}
+	return Options{MatchResponse: func(r *http.Response) bool { return r.Header.Get("Id") == id }}
 }
 
 func answer(id, body string) string {
@@ -266,7 +266,7 @@
 	if !errors.Is(err, ErrRefused) || !errors.Is(err, ErrNotSent) {
 		t.Errorf("ended with %v", err)
 	}
-	if !client().Refuses(t.Context(), address) {
+	if !client().ConnectionRefused(t.Context(), address) {
 		t.Error("a question whether anything listens says it does")
 	}
 }
@@ -287,8 +287,8 @@
 	}
 	<-ended
 	o := belongs("2")
-	o.Silence, o.GiveUp = 50*time.Millisecond, func() bool { return true }
-	if _, err := ask(t, client(), s.address, get("2"), o); !errors.Is(err, ErrSilent) {
+	o.IdleTimeout, o.ShouldAbort = 50*time.Millisecond, func() bool { return true }
+	if _, err := ask(t, client(), s.address, get("2"), o); !errors.Is(err, ErrIdleTimeout) {
 		t.Errorf("a silent server: %v", err)
 	}
 	<-ended
@@ -305,7 +305,7 @@
 		_, _ = io.WriteString(c, "more")
 	})
 	o := belongs("1")
-	o.Silence, o.GiveUp = 20*time.Millisecond, func() bool { return false }
+	o.IdleTimeout, o.ShouldAbort = 20*time.Millisecond, func() bool { return false }
 	if body, err := ask(t, client(), s.address, get("1"), o); err != nil || body != "halfmore" {
 		t.Errorf("%q, %v", body, err)
 	}
@@ -322,7 +322,7 @@
 	})
 	c := client()
 	fresh := belongs("1")
-	fresh.Fresh = true
+	fresh.FreshConn = true
 	for _, want := range []int32{1, 1} {
 		if _, err := ask(t, c, s.address, get("1"), fresh); err != nil {
 			t.Fatal(err)
@@ -356,7 +356,7 @@
 	defer c.Close()
 	decided := make(chan struct{})
 	o := belongs("1")
-	o.Silence, o.GiveUp = time.Millisecond, func() bool {
+	o.IdleTimeout, o.ShouldAbort = time.Millisecond, func() bool {
 		close(asked)
 		<-begun
 		defer close(decided)
--- a/transport/dispatch/admit.go
+++ b/transport/dispatch/admit.go
@@ -68,8 +68,8 @@
 // Stats tells how the service's queue stands.
 func (a *Admission) Stats(s *service.Service) admission.Stats { return a.queue(s).Stats() }
 
-// Forget drops the limiters of servers that are no longer known.
-func (a *Admission) Forget() {
+// PruneLimiters drops the limiters of servers that are no longer known.
+func (a *Admission) PruneLimiters() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for e := range a.limiters {
@@ -94,8 +94,8 @@
 	e.SetLimit(l.Limit(ceiling))
 }
 
-// Reported takes in a server's report.
-func (a *Admission) Reported(e *servers.Entry, s *service.Service, now time.Time) {
+// ApplyReport takes in a server's report.
+func (a *Admission) ApplyReport(e *servers.Entry, s *service.Service, now time.Time) {
 	load := &e.View().Load
 	a.limit(e, s, func(l *admission.Limiter, _ int) {
 		l.Reported(admission.Report{BootID: load.BootID, Running: load.Running, Waiting: load.Waiting, InBulk: e.Bulk()}, now)
--- a/transport/dispatch/crash.go
+++ b/transport/dispatch/crash.go
@@ -17,7 +17,7 @@
 
 // failed takes in that the connection to a server failed with work in flight,
 // and finds out whether the server crashed.
-func (l *Local) failed(ctx context.Context, w *Work, server servers.Server, err error) {
+func (l *LocalDispatcher) failed(ctx context.Context, w *Work, server servers.Server, err error) {
 	r := refusal.From(err)
 	if ctx.Err() != nil || r.Code != refusal.CodeBackendFailed {
 		return
@@ -31,7 +31,7 @@
 
 // judge tells a crash from a broken connection; quarantine's package comment
 // gives the reasons.
-func (l *Local) judge(ctx context.Context, w *Work, server servers.Server) {
+func (l *LocalDispatcher) judge(ctx context.Context, w *Work, server servers.Server) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	before := server.Load.BootID
@@ -47,7 +47,7 @@
 	}
 }
 
-func (l *Local) ask(ctx context.Context, w *Work, server servers.Server) (servers.Load, error) {
+func (l *LocalDispatcher) ask(ctx context.Context, w *Work, server servers.Server) (servers.Load, error) {
 	svc := l.Catalog.Service(w.Service)
 	if svc != nil && svc.Type == service.TypePlain {
 		return l.Backend.PlainLoad(ctx, server.Address, time.Now())
--- a/transport/dispatch/front.go
+++ b/transport/dispatch/front.go
@@ -21,11 +21,11 @@
 
 // Domains tells what is known of the failure domains for a service.
 type Domains interface {
-	// Own returns the own failure domain as it is now.
-	Own(service string) routing.Domain
-	// Others returns the other live instances, those of the own failure domain
+	// Local returns the own failure domain as it is now.
+	Local(service string) routing.Domain
+	// Peers returns the other live instances, those of the own failure domain
 	// included. The slice is shared and not to be changed.
-	Others(service string) []routing.Domain
+	Peers(service string) []routing.Domain
 }
 
 // Front runs the requests of callers: it charges them, chooses the failure
@@ -36,9 +36,9 @@
 	Ledger         *quota.Ledger
 	Retries        *retry.Budget
 	Quarantine     *quarantine.List
-	Known          Domains
+	Domains        Domains
 	Router         *routing.Router
-	Local          *Local
+	Local          *LocalDispatcher
 	Forwarder      Forwarder
 	Log            *slog.Logger
 	Metrics        *metrics.Recorder // may be nil
@@ -212,7 +212,7 @@
 }
 
 func (f *Front) choose(request *routing.Request, w *Work) *routing.Domain {
-	own, others := f.Known.Own(w.Service), f.Known.Others(w.Service)
+	own, others := f.Domains.Local(w.Service), f.Domains.Peers(w.Service)
 	fingerprint := w.identity()
 	w.designated = f.Quarantine.Suspected(fingerprint, time.Now())
 	if w.designated {
--- a/transport/dispatch/front_test.go
+++ b/transport/dispatch/front_test.go
@@ -23,8 +23,8 @@
 	answer  func(sink Sink) error
 }
 
-func (p *peers) Own(string) routing.Domain      { return routing.Domain{Name: "own", Region: "suva-a"} }
-func (p *peers) Others(string) []routing.Domain { return p.domains }
+func (p *peers) Local(string) routing.Domain   { return routing.Domain{Name: "own", Region: "suva-a"} }
+func (p *peers) Peers(string) []routing.Domain { return p.domains }
 
 func (p *peers) Forward(_ context.Context, address string, _ *Work, sink Sink) error {
 	p.called = append(p.called, address)
@@ -43,7 +43,7 @@
 func frontOf(p *peers) *Front {
 	return &Front{
 		Region: "suva-a", Domain: "own", Retries: retry.NewBudget(), Quarantine: quarantine.New(),
-		Known: p, Router: routing.NewRouter("suva-a", "own"), Forwarder: p, Log: slog.New(slog.DiscardHandler),
+		Domains: p, Router: routing.NewRouter("suva-a", "own"), Forwarder: p, Log: slog.New(slog.DiscardHandler),
 	}
 }
 
--- a/transport/dispatch/local.go
+++ b/transport/dispatch/local.go
@@ -29,14 +29,14 @@
 	suspectPause = 300 * time.Millisecond
 )
 
-// Local runs work on the backend servers of the own failure domain.
-type Local struct {
+// LocalDispatcher runs work on the backend servers of the own failure domain.
+type LocalDispatcher struct {
 	Catalog    *catalog.Catalog
 	Servers    *servers.Table
 	Backend    *backend.Client
 	Quarantine *quarantine.List
 	Admission  *Admission
-	Prefixes   *Prefixes
+	Prefixes   *PrefixIndexes
 	Isolation  *quarantine.Isolation
 	Metrics    *metrics.Recorder // may be nil
 	Claims     *claim.Claimer    // of operations that may run at most once
@@ -44,7 +44,7 @@
 
 // Run waits for a slot and sends the work to one server. The error is a
 // *refusal.Refusal, or the sink's own error.
-func (l *Local) Run(ctx context.Context, w *Work, sink Sink) error {
+func (l *LocalDispatcher) Run(ctx context.Context, w *Work, sink Sink) error {
 	svc := l.Catalog.Service(w.Service)
 	if svc == nil {
 		return refusal.New(refusal.CodeNotFound, "service %q is not known here", w.Service)
@@ -77,7 +77,7 @@
 	return refusal.New(refusal.CodeNoServer, "no backend server of %s can take the request", name).After(noServerRetry)
 }
 
-func (l *Local) serves(svc *service.Service) bool {
+func (l *LocalDispatcher) serves(svc *service.Service) bool {
 	for _, e := range l.Servers.Entries(svc.Name) {
 		if v := e.View(); v.Usable() && svc.AllowsVersion(v.Version) {
 			return true
@@ -87,7 +87,7 @@
 }
 
 // weight is the account's share in the queue.
-func (l *Local) weight(account string) float64 {
+func (l *LocalDispatcher) weight(account string) float64 {
 	if a := l.Catalog.Account(account); a != nil {
 		return a.Rate
 	}
@@ -106,7 +106,7 @@
 
 // place chooses the server. A suspected request waits for one without other
 // suspects; what became known of it while it waited counts.
-func (l *Local) place(ctx context.Context, w *Work, svc *service.Service) (*placed, *refusal.Refusal) {
+func (l *LocalDispatcher) place(ctx context.Context, w *Work, svc *service.Service) (*placed, *refusal.Refusal) {
 	fingerprint := w.identity()
 	request := l.request(w, svc)
 	settled, judged := false, false
@@ -165,7 +165,7 @@
 // until it is known whether the copy crashed the server. A copy that comes a moment after
 // the crash finds nothing that listens, and would go on to crash the next server before
 // the first copy's instance has asked what became of the server.
-func (l *Local) awaitJudgement(ctx context.Context, w *Work) {
+func (l *LocalDispatcher) awaitJudgement(ctx context.Context, w *Work) {
 	_, _, changed := l.Isolation.Busy(w.identity())
 	if beside := l.Isolation.ServerOf(w.identity()); beside == "" || !slices.Contains(w.tried, beside) {
 		return
@@ -193,7 +193,7 @@
 	return refusal.New(refusal.CodeQuarantined, "this request crashed backend servers").After(time.Until(until))
 }
 
-func (l *Local) request(w *Work, svc *service.Service) *routing.Request {
+func (l *LocalDispatcher) request(w *Work, svc *service.Service) *routing.Request {
 	r := &routing.Request{Service: svc, Account: xxhash.Sum64String(w.Account), Home: w.Home, Hop: w.Hop, Bulk: w.Class == service.ClassBulk}
 	if w.Generation != nil {
 		r.PromptTokens, r.Cached = l.Prefixes.match(w)
@@ -201,7 +201,7 @@
 	return r
 }
 
-func (l *Local) put(w *Work, request *routing.Request, fingerprint string, suspect bool, now time.Time) (*placed, *refusal.Refusal) {
+func (l *LocalDispatcher) put(w *Work, request *routing.Request, fingerprint string, suspect bool, now time.Time) (*placed, *refusal.Refusal) {
 	entry, elsewhere := l.choose(w, request, fingerprint, now)
 	if entry == nil && !suspect && len(w.tried) > 0 {
 		request.Exclude = nil // every server failed it once
@@ -223,7 +223,7 @@
 
 // choose returns the server that runs a copy of the work, or the best one, or
 // nil. elsewhere tells that a copy's server cannot take it.
-func (l *Local) choose(w *Work, request *routing.Request, fingerprint string, now time.Time) (entry *servers.Entry, elsewhere bool) {
+func (l *LocalDispatcher) choose(w *Work, request *routing.Request, fingerprint string, now time.Time) (entry *servers.Entry, elsewhere bool) {
 	list := l.Servers.Entries(w.Service)
 	if beside := l.Isolation.ServerOf(fingerprint); beside != "" {
 		e := l.Servers.Entry(w.Service, beside)
@@ -244,7 +244,7 @@
 }
 
 // dispatch runs the work on its server and takes in what that showed.
-func (l *Local) dispatch(ctx context.Context, w *Work, p *placed, sink Sink) error {
+func (l *LocalDispatcher) dispatch(ctx context.Context, w *Work, p *placed, sink Sink) error {
 	bulk := w.Class == service.ClassBulk
 	var m *measured
 	m = newMeasured(sink, p, func() { l.sample(p, m, bulk) })
@@ -263,7 +263,7 @@
 // the first token and not at the end: a limit that learned from whole answers
 // stayed at its start for as long as they run, and callers queued for a minute
 // and more before a server with room for all of them.
-func (l *Local) sample(p *placed, m *measured, bulk bool) {
+func (l *LocalDispatcher) sample(p *placed, m *measured, bulk bool) {
 	now := time.Now()
 	l.Admission.answered(p.entry, p.service, admission.Answer{
 		Bulk: bulk, Latency: m.latency, Expected: m.alone, InFlight: p.entry.InFlight(), InBulk: p.entry.Bulk(),
@@ -271,14 +271,14 @@
 	l.Admission.Refresh(p.service, now)
 }
 
-func (l *Local) send(ctx context.Context, w *Work, p *placed, sink Sink) error {
+func (l *LocalDispatcher) send(ctx context.Context, w *Work, p *placed, sink Sink) error {
 	if w.Generation != nil {
 		return l.generate(ctx, w, p.server, sink)
 	}
 	return l.operate(ctx, w, p.server, sink)
 }
 
-func (l *Local) observe(ctx context.Context, w *Work, p *placed, m *measured, err error) {
+func (l *LocalDispatcher) observe(ctx context.Context, w *Work, p *placed, m *measured, err error) {
 	now := time.Now()
 	switch {
 	case err == nil:
@@ -291,7 +291,7 @@
 	}
 }
 
-func (l *Local) countDropped(stats *backend.StreamStats) {
+func (l *LocalDispatcher) countDropped(stats *backend.StreamStats) {
 	l.Metrics.Dropped(metrics.DropForeign, stats.Foreign)
 	l.Metrics.Dropped(metrics.DropRepeated, stats.Repeated)
 }
--- a/transport/dispatch/operate.go
+++ b/transport/dispatch/operate.go
@@ -12,7 +12,7 @@
 // operate runs an operation on one server. One that may not be repeated and
 // carries an idempotency key is claimed first, here and not where the caller
 // is served, so that a request refused on its way costs the store no write.
-func (l *Local) operate(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
+func (l *LocalDispatcher) operate(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
 	held, err := l.claim(ctx, w)
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 // claim returns nil when the operation needs no claim: it may be repeated, or
 // its caller sent no key. Without a key it is dispatched once, but the caller
 // who sends it again asks for another run.
-func (l *Local) claim(ctx context.Context, w *Work) (*claim.Held, error) {
+func (l *LocalDispatcher) claim(ctx context.Context, w *Work) (*claim.Held, error) {
 	svc := l.Catalog.Service(w.Service)
 	if w.Operation.IdempotencyKey == "" || l.Claims == nil || (svc != nil && w.Repeatable(svc)) {
 		return nil, nil
--- a/transport/dispatch/poison_test.go
+++ b/transport/dispatch/poison_test.go
@@ -23,9 +23,9 @@
 			table.Report("ledger", id, servers.Load{At: time.Now(), BootID: "boot"})
 			table.Entry("ledger", id).SetLimit(4, 4)
 		}
-		l := &Local{
+		l := &LocalDispatcher{
 			Catalog: catalog.New(), Servers: table, Quarantine: quarantine.New(),
-			Isolation: quarantine.NewIsolation(), Prefixes: NewPrefixes("viti-levu"),
+			Isolation: quarantine.NewIsolation(), Prefixes: NewPrefixIndexes("viti-levu"),
 		}
 		svc := &service.Service{Name: "ledger", Operations: map[string]service.Operation{"order": {Cost: 1}}}
 		first, second := order(time.Second), order(time.Second)
--- a/transport/dispatch/prefixes.go
+++ b/transport/dispatch/prefixes.go
@@ -7,22 +7,22 @@
 	"github.com/basilroute/basilroute/protocol/tokens"
 )
 
-// Prefixes holds the prefix index of each service in the own failure domain. It
+// PrefixIndexes holds the prefix index of each service in the own failure domain. It
 // is safe for concurrent use.
-type Prefixes struct {
+type PrefixIndexes struct {
 	region string
 
 	mu      sync.RWMutex
 	indexes map[string]*prefix.Index
 }
 
-// NewPrefixes returns indexes of servers in a region.
-func NewPrefixes(region string) *Prefixes {
-	return &Prefixes{region: region, indexes: make(map[string]*prefix.Index)}
+// NewPrefixIndexes returns indexes of servers in a region.
+func NewPrefixIndexes(region string) *PrefixIndexes {
+	return &PrefixIndexes{region: region, indexes: make(map[string]*prefix.Index)}
 }
 
 // Index returns the index of a service.
-func (p *Prefixes) Index(service string) *prefix.Index {
+func (p *PrefixIndexes) Index(service string) *prefix.Index {
 	p.mu.RLock()
 	x := p.indexes[service]
 	p.mu.RUnlock()
@@ -42,12 +42,12 @@
 	return tokens.AppendBlocks(nil, prompt[:min(len(prompt), longest)])
 }
 
-func (p *Prefixes) match(w *Work) (int, *prefix.Matches) {
+func (p *PrefixIndexes) match(w *Work) (int, *prefix.Matches) {
 	matches := &prefix.Matches{}
 	p.Index(w.Service).Match(blocksOf(w.Generation.Prompt), w.Home, matches)
 	return tokens.Estimate(w.Generation.Prompt), matches
 }
 
-func (p *Prefixes) dispatched(w *Work, slot int) {
+func (p *PrefixIndexes) dispatched(w *Work, slot int) {
 	p.Index(w.Service).Dispatched(slot, w.Home, blocksOf(w.Generation.Prompt))
 }
--- a/transport/dispatch/resume.go
+++ b/transport/dispatch/resume.go
@@ -7,8 +7,8 @@
 	"github.com/basilroute/basilroute/protocol/refusal"
 )
 
-// Forwarding is a Forwarder that can also cancel what it forwarded.
-type Forwarding interface {
+// CancelingForwarder is a Forwarder that can also cancel what it forwarded.
+type CancelingForwarder interface {
 	Forwarder
 	// Cancel ends the work at its server, through any peer of that failure domain.
 	Cancel(ctx context.Context, address string, w *Work, server string) error
@@ -20,7 +20,7 @@
 // Only the first instance resumes. It keeps the request id and the attempt, so
 // the engine finds the running generation and nothing is charged or run twice.
 type Resumer struct {
-	Next Forwarding
+	Next CancelingForwarder
 	// Peers returns the addresses of the live peers in the failure domain of
 	// the peer at the address, that one last.
 	Peers func(address string) []string
--- a/transport/dispatch/sample_test.go
+++ b/transport/dispatch/sample_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	l.Catalog.Put(document)
-	l.Admission, l.Prefixes, l.Isolation = NewAdmission(l.Servers), NewPrefixes(""), quarantine.NewIsolation()
+	l.Admission, l.Prefixes, l.Isolation = NewAdmission(l.Servers), NewPrefixIndexes(""), quarantine.NewIsolation()
 	l.Servers.Report("lm", "e", servers.Load{At: time.Now(), BootID: "boot", PrefillRate: 20000})
 	ctx, stop := context.WithCancel(t.Context())
 	var running sync.WaitGroup
--- a/transport/dispatch/stream.go
+++ b/transport/dispatch/stream.go
@@ -26,7 +26,7 @@
 var ErrDetached = errors.New("the connection to the first instance broke")
 
 // generate streams from one engine and resumes there when the connection breaks.
-func (l *Local) generate(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
+func (l *LocalDispatcher) generate(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
 	generation := backend.Generation{
 		RequestID: w.RequestID, Attempt: w.Attempt, Account: w.Account, Version: server.Version,
 		Prompt: w.Generation.Prompt, MaxTokens: w.Generation.MaxTokens, Via: w.Via,
@@ -58,7 +58,7 @@
 
 // giveUp cancels the generation unless the first instance may resume it through
 // another peer: the connection to it broke, or this instance is made to stop.
-func (l *Local) giveUp(ctx context.Context, server servers.Server, w *Work) {
+func (l *LocalDispatcher) giveUp(ctx context.Context, server servers.Server, w *Work) {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, ErrDetached) {
 		return
@@ -69,14 +69,14 @@
 	l.cancel(server, w.RequestID)
 }
 
-func (l *Local) cancel(server servers.Server, requestID string) {
+func (l *LocalDispatcher) cancel(server servers.Server, requestID string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelDeadline)
 	defer cancel()
 	_ = l.Backend.Cancel(ctx, server.Address, requestID) // the engine ends the generation by itself at its limit
 }
 
 // Cancel ends a generation that runs on a server of the own failure domain.
-func (l *Local) Cancel(serviceName, serverID, requestID string) {
+func (l *LocalDispatcher) Cancel(serviceName, serverID, requestID string) {
 	if server, ok := l.Servers.Find(serviceName, serverID); ok {
 		l.cancel(server, requestID)
 	}
@@ -84,7 +84,7 @@
 
 // resume goes on with a generation where it runs. It passes the queue, because
 // the generation holds its place on the engine already.
-func (l *Local) resume(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
+func (l *LocalDispatcher) resume(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
 	if entry := l.Servers.Entry(w.Service, server.ID); entry != nil {
 		entry.Begin(0, w.Class == service.ClassBulk)
 		defer entry.End(w.Class == service.ClassBulk)
@@ -93,7 +93,7 @@
 }
 
 // pinned returns the server on which the work has to be resumed, if it names one.
-func (l *Local) pinned(w *Work) (server servers.Server, refused *refusal.Refusal, ok bool) {
+func (l *LocalDispatcher) pinned(w *Work) (server servers.Server, refused *refusal.Refusal, ok bool) {
 	if w.Generation == nil || w.Generation.Server == "" {
 		return servers.Server{}, nil, false
 	}
--- a/transport/dispatch/stream_test.go
+++ b/transport/dispatch/stream_test.go
@@ -21,7 +21,7 @@
 const localPrompt = "which lacquers may cross a border"
 
 // localEngine is a Local with one engine.
-func localEngine(t *testing.T) (*Local, servers.Server, *engine.Engine) {
+func localEngine(t *testing.T) (*LocalDispatcher, servers.Server, *engine.Engine) {
 	e := engine.New(engine.DefaultConfig())
 	handler, err := e.Handler()
 	if err != nil {
@@ -30,7 +30,7 @@
 	server := httptest.NewServer(handler)
 	t.Cleanup(e.Close)
 	t.Cleanup(server.Close)
-	l := &Local{Catalog: catalog.New(), Servers: servers.New(), Backend: backend.New(), Quarantine: quarantine.New()}
+	l := &LocalDispatcher{Catalog: catalog.New(), Servers: servers.New(), Backend: backend.New(), Quarantine: quarantine.New()}
 	t.Cleanup(l.Backend.Close)
 	l.Servers.Replace([]servers.Identity{{ID: "e", Service: "lm", Address: server.URL}}, time.Now())
 	return l, servers.Server{ID: "e", Service: "lm", Address: server.URL}, e
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "gateway")
 	}
-	return limitBody(httpstream.Flush(api)), nil
+	return limitBody(httpstream.FlushHandler(api)), nil
 }
 
 func limitBody(next http.Handler) http.Handler {
--- a/transport/httpidle/httpidle.go
+++ b/transport/httpidle/httpidle.go
@@ -12,19 +12,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrSilent is the error of a call from which nothing came for too long.
-var ErrSilent = errors.New("no byte of the answer in time")
+// ErrIdleTimeout is the error of a call from which nothing came for too long.
+var ErrIdleTimeout = errors.New("no byte of the answer in time")
 
-// Longest bounds a call whose answer never ends.
-const Longest = 30 * time.Second
+// MaxDuration bounds a call whose answer never ends.
+const MaxDuration = 30 * time.Second
 
 type limitsKey struct{}
 
 type limits struct{ first, next time.Duration }
 
-// With returns the context of a call that may be silent until its answer begins, first, and
+// WithTimeouts returns the context of a call that may be silent until its answer begins, first, and
 // between two pieces of it, next. It holds for calls that a Transport makes.
-func With(ctx context.Context, first, next time.Duration) context.Context {
+func WithTimeouts(ctx context.Context, first, next time.Duration) context.Context {
 	return context.WithValue(ctx, limitsKey{}, limits{first: first, next: next})
 }
 
@@ -37,9 +37,9 @@
 	if !ok {
 		return t.Next.RoundTrip(req)
 	}
-	ctx, end := context.WithTimeout(req.Context(), limit.first+Longest)
+	ctx, end := context.WithTimeout(req.Context(), limit.first+MaxDuration)
 	ctx, giveUp := context.WithCancelCause(ctx)
-	silence := time.AfterFunc(limit.first, func() { giveUp(ErrSilent) })
+	silence := time.AfterFunc(limit.first, func() { giveUp(ErrIdleTimeout) })
 	stop := func() {
 		silence.Stop()
 		end()
--- a/transport/httpidle/httpidle_test.go
+++ b/transport/httpidle/httpidle_test.go
@@ -40,7 +40,7 @@
 		transport.CloseIdleConnections()
 		handling.Wait()
 	}()
-	req, err := http.NewRequestWithContext(httpidle.With(t.Context(), first, next), http.MethodGet, "http://there:80/", nil)
+	req, err := http.NewRequestWithContext(httpidle.WithTimeouts(t.Context(), first, next), http.MethodGet, "http://there:80/", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 func TestCallWithoutAnAnswerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, took, err := call(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-		if !errors.Is(err, httpidle.ErrSilent) || took < first || took > first+next {
+		if !errors.Is(err, httpidle.ErrIdleTimeout) || took < first || took > first+next {
 			t.Errorf("%v after %v", err, took)
 		}
 	})
@@ -77,7 +77,7 @@
 			piece(w)
 			<-r.Context().Done()
 		})
-		if !errors.Is(err, httpidle.ErrSilent) || took > 2*next {
+		if !errors.Is(err, httpidle.ErrIdleTimeout) || took > 2*next {
 			t.Errorf("%v after %v", err, took)
 		}
 	})
@@ -108,7 +108,7 @@
 				piece(w)
 			}
 		})
-		if err == nil || took > first+httpidle.Longest+next {
+		if err == nil || took > first+httpidle.MaxDuration+next {
 			t.Errorf("%v after %v", err, took)
 		}
 	})
--- a/transport/httproute/attempt.go
+++ b/transport/httproute/attempt.go
@@ -77,7 +77,7 @@
 
 // pay takes a repeat from the fleet's budget.
 func (f *Front) pay(r *request) bool {
-	fleet, _ := f.Remotes.Instances()
+	fleet, _ := f.Remotes.InstanceCounts()
 	return f.Retries.Take(r.service, fleet, time.Now())
 }
 
@@ -150,7 +150,7 @@
 	if remote != nil {
 		r.tried = append(r.tried, remote.Region)
 		r.note(eventForwarded, "peer", remote.Instance, "region", remote.Region, "servers", remote.Servers,
-			"expected_ms", remote.arrives().Milliseconds(), "heard_ms_ago", now.Sub(remote.Heard).Milliseconds())
+			"expected_ms", remote.arrives().Milliseconds(), "heard_ms_ago", now.Sub(remote.ReportedAt).Milliseconds())
 		f.sent.add(remote, r.service, r.PromptTokens)
 		r.mayLeave = f.mayLeave(r)
 		o.giveUp = r.mayLeave
--- a/transport/httproute/choose.go
+++ b/transport/httproute/choose.go
@@ -69,7 +69,7 @@
 }
 
 // arrives is the expected time to the first byte by way of the region.
-func (r *Remote) arrives() time.Duration { return r.RoundTrip + r.Expected }
+func (r *Remote) arrives() time.Duration { return r.RoundTrip + r.ExpectedFirstByte }
 
 // early returns the region that a request should leave for although the own one may
 // still take it, or nil. A repeat stays: it has cost time already.
@@ -90,7 +90,7 @@
 	for i := range remotes {
 		o := &remotes[i]
 		regions[i] = spill.Region{
-			Occupancy: spill.Occupancy{Running: float64(o.Running), Slots: float64(o.Running + o.Room), Slowed: o.Slowed}, Arrives: o.arrives(),
+			Occupancy: spill.Occupancy{Running: float64(o.Running), Slots: float64(o.Running + o.FreeSlots), Slowed: o.StallFraction}, Arrives: o.arrives(),
 		}
 	}
 	chosen := spill.Early(own, regions, r.work.Objective-now.Sub(r.arrived), rand.Float64())
@@ -142,7 +142,7 @@
 // permitted returns the other regions that may run the request and have servers, with
 // what this region sent there since they spoke.
 func (f *Front) permitted(r *request, tried, homes []string, anywhere bool) []Remote {
-	_, instances := f.Remotes.Instances()
+	_, instances := f.Remotes.InstanceCounts()
 	var out []Remote
 	for _, o := range f.Remotes.Remotes(r.service) {
 		allowed := anywhere || slices.Contains(homes, o.Region)
@@ -150,7 +150,7 @@
 			continue
 		}
 		f.sent.correct(&o, r.service, instances)
-		o.Expected += placement.BeyondSummary(&r.work)
+		o.ExpectedFirstByte += placement.BeyondSummary(&r.work)
 		out = append(out, o)
 	}
 	return out
--- a/transport/httproute/choose_test.go
+++ b/transport/httproute/choose_test.go
@@ -13,9 +13,9 @@
 // regions are other regions, each with one instance.
 type regions []Remote
 
-func (regions) Unreached(string)                 {}
-func (r regions) Remotes(string) []Remote        { return r }
-func (r regions) Instances() (fleet, region int) { return len(r) + 1, 1 }
+func (regions) MarkUnreachable(string)                {}
+func (r regions) Remotes(string) []Remote             { return r }
+func (r regions) InstanceCounts() (fleet, region int) { return len(r) + 1, 1 }
 
 // A prompt may be read, cached and stored in its homes only. The busiest region is none of
 // them; its server would be asked for the prompt's shared parts and, where the own region is
@@ -62,7 +62,7 @@
 // when an operator has switched that off.
 func TestLeavingByRoomIsSwitchedOff(t *testing.T) {
 	f, _ := gatewayOver(t)
-	f.Remotes = regions{{Region: "idle", Servers: 1, Room: 100}}
+	f.Remotes = regions{{Region: "idle", Servers: 1, FreeSlots: 100}}
 	pool := f.Local.Pool("svc")
 	pool.Update(placement.Settings{Engine: true, Slots: 8}, []backends.Entry{{Server: backends.Server{ID: "own", Slots: 8}, Incarnation: 1}})
 	now := time.Now()
--- a/transport/httproute/codec.go
+++ b/transport/httproute/codec.go
@@ -18,11 +18,11 @@
 type Call struct {
 	RequestID    string
 	Key          string        // empty when none was presented
-	Waits        time.Duration // how long the caller waits; 0 when not said
+	Timeout      time.Duration // how long the caller waits; 0 when not said
 	HasTokens    bool
 	PromptTokens int
 	OutputTokens int // at most
-	Parts        []placement.Part
+	Segments     []placement.Part
 	LastEventID  string
 }
 
@@ -33,14 +33,14 @@
 type Outbound struct {
 	Server      string        // id that the server has to have; another one does not run it
 	Account     string        // empty when the request has none
-	Left        time.Duration // how long the server may work
+	Timeout     time.Duration // how long the server may work
 	Urgency     int           // 0 is the most urgent; below 0 leaves it to the server
 	LastEventID string        // resume after this event; empty to begin
 	FetchFrom   string        // address of a server to fetch cached parts from; may be empty
 }
 
-// Verdict is what a backend server's headers say beside its answer.
-type Verdict struct {
+// ResponseMeta is what a backend server's headers say beside its answer.
+type ResponseMeta struct {
 	RequestID   string
 	NotRun      bool // the server did not run the request and never will
 	Misdirected bool // another server has the address now
@@ -55,8 +55,8 @@
 	// Outbound turns a caller's headers into those for a backend server: without the
 	// key and without what callers may not set.
 	Outbound(h http.Header, o Outbound) http.Header
-	// Verdict reads a backend server's headers.
-	Verdict(status int, h http.Header) Verdict
+	// DecodeResponse reads a backend server's headers.
+	DecodeResponse(status int, h http.Header) ResponseMeta
 }
 
 // hopHeaders concern one connection only (RFC 9110, section 7.6.1). Expect has been
--- a/transport/httproute/forward.go
+++ b/transport/httproute/forward.go
@@ -64,17 +64,17 @@
 	if err != nil {
 		return nil, &failure{run: notRun, reason: reasonPeer, cause: err}
 	}
-	header := f.Codec.Outbound(o.header, Outbound{Account: o.account, Left: o.deadline.Sub(now), Urgency: -1, LastEventID: o.lastEventID})
+	header := f.Codec.Outbound(o.header, Outbound{Account: o.account, Timeout: o.deadline.Sub(now), Urgency: -1, LastEventID: o.lastEventID})
 	header.Set(headerForward, string(note))
-	silence := o.silence(remote.Expected, now)
+	silence := o.silence(remote.ExpectedFirstByte, now)
 	if silence > 0 {
 		silence += remote.RoundTrip
 	}
 	answer, err := f.Peers.Do(ctx, remote.Address, &backendhttp.Request{
 		Method: o.method, Target: o.target, Host: o.host, Header: header, Body: o.body,
 	}, backendhttp.Options{
-		Fresh: !o.repeatable, Silence: silence, GiveUp: o.giveUp,
-		Belongs: func(resp *http.Response) bool { return resp.Header.Get(headerRequest) == o.id },
+		FreshConn: !o.repeatable, IdleTimeout: silence, ShouldAbort: o.giveUp,
+		MatchResponse: func(resp *http.Response) bool { return resp.Header.Get(headerRequest) == o.id },
 	})
 	f.Metrics.forwarded(o.service)
 	if err != nil {
@@ -84,7 +84,7 @@
 		return nil, refusedBy(answer, note, remote)
 	}
 	rep := &reply{
-		Answer: answer, verdict: f.Codec.Verdict(answer.Status, answer.Header),
+		Response: answer, verdict: f.Codec.DecodeResponse(answer.Status, answer.Header),
 		server: answer.Header.Get(headerServer), ended: func(placement.Outcome) {},
 	}
 	delete(answer.Header, headerRequest)
@@ -93,7 +93,7 @@
 }
 
 // refusedBy reads why a peer did not serve the request.
-func refusedBy(answer *backendhttp.Answer, note string, remote *Remote) *failure {
+func refusedBy(answer *backendhttp.Response, note string, remote *Remote) *failure {
 	_, _ = io.Copy(io.Discard, answer) // the end of the answer; a broken one is not used again
 	answer.Close()
 	var said refused
@@ -112,14 +112,14 @@
 	switch {
 	case errors.Is(err, backendhttp.ErrNotSent):
 		failed.run, failed.sent = notRun, false
-	case errors.Is(err, backendhttp.ErrSilent):
+	case errors.Is(err, backendhttp.ErrIdleTimeout):
 		failed.reason = reasonSilent
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		failed.reason = reasonDeadline
 	}
 	if ctx.Err() == nil {
-		f.Remotes.Unreached(remote.Instance)
+		f.Remotes.MarkUnreachable(remote.Instance)
 	}
 	f.Log.Info("forward_failed", "request", o.id, "service", o.service, "peer", remote.Instance, "region", remote.Region,
 		"run", string(failed.run), "error", err.Error())
@@ -129,7 +129,7 @@
 // Peer takes the requests that other instances forward.
 type Peer struct {
 	Codec    Codec
-	Local    *Local
+	Local    *LocalDispatcher
 	Routes   *routes.Table
 	Stopping func() bool
 }
@@ -181,7 +181,7 @@
 		host: hr.Host, header: header, body: body, deadline: deadline, repeatable: said.Repeatable, print: said.Print,
 		lastEventID: said.LastEventID, config: said.Config,
 		work: &placement.Work{
-			Parts: call.Parts, Tokens: call.PromptTokens, Urgency: said.Urgency, Probe: said.Repeatable,
+			Parts: call.Segments, Tokens: call.PromptTokens, Urgency: said.Urgency, Probe: said.Repeatable,
 			Risk:      !said.Detached,
 			Far:       placement.Source{Address: said.HolderAddress, Tokens: said.HolderTokens},
 			Objective: time.Duration(said.ObjectiveMs) * time.Millisecond, Arrived: arrived, Deadline: deadline,
--- a/transport/httproute/front.go
+++ b/transport/httproute/front.go
@@ -22,26 +22,26 @@
 // Remote is another region as this instance sees it for one service, by way of one
 // of its instances.
 type Remote struct {
-	Region    string
-	Instance  string
-	Address   string        // where the instance takes forwarded requests
-	RoundTrip time.Duration // there and back
-	Servers   int
-	Running   int           // requests at its servers
-	Room      int           // requests that could start there at once
-	Slowed    float64       // part of its servers' time that does not go into running answers
-	Expected  time.Duration // to the first byte there, of an ordinary request
-	Heard     time.Time     // when the instance last spoke
+	Region            string
+	Instance          string
+	Address           string        // where the instance takes forwarded requests
+	RoundTrip         time.Duration // there and back
+	Servers           int
+	Running           int           // requests at its servers
+	FreeSlots         int           // requests that could start there at once
+	StallFraction     float64       // part of its servers' time that does not go into running answers
+	ExpectedFirstByte time.Duration // to the first byte there, of an ordinary request
+	ReportedAt        time.Time     // when the instance last spoke
 }
 
 // Remotes tells what is known of the other regions.
 type Remotes interface {
 	// Remotes returns one reachable instance of each other region.
 	Remotes(service string) []Remote
-	// Unreached takes in that an instance could not be reached.
-	Unreached(instance string)
-	// Instances returns how many instances of the fleet and of the own region live.
-	Instances() (fleet, region int)
+	// MarkUnreachable takes in that an instance could not be reached.
+	MarkUnreachable(instance string)
+	// InstanceCounts returns how many instances of the fleet and of the own region live.
+	InstanceCounts() (fleet, region int)
 }
 
 // Front serves callers.
@@ -53,15 +53,15 @@
 	Quarantine *quarantine.List
 	Retries    *retry.Window
 	Remotes    Remotes
-	Local      *Local
+	Local      *LocalDispatcher
 	Peers      *backendhttp.Client
 	Log        *slog.Logger
 	Metrics    *Metrics
 	Features   features.Set
 	// Stopping tells whether this instance is about to end and takes nothing more.
 	Stopping func() bool
-	// Remaining is how long this instance still runs, once it leaves; 0 before.
-	Remaining func() time.Duration
+	// TimeToShutdown is how long this instance still runs, once it leaves; 0 before.
+	TimeToShutdown func() time.Duration
 	// Starting tells whether this instance has started just now and may lack what it needs.
 	Starting func() bool
 	// Leaving tells whether callers are to leave their connections.
@@ -193,7 +193,7 @@
 
 // outlasts tells whether a stream may last longer than this instance.
 func (f *Front) outlasts(r *request) bool {
-	left := f.Remaining()
+	left := f.TimeToShutdown()
 	if left == 0 || r.route.Kind != routes.KindStreaming {
 		return false
 	}
@@ -245,7 +245,7 @@
 // prepare sets the limits of a request and what placement needs to know.
 func (f *Front) prepare(r *request) {
 	wait := defaultWait
-	for _, limit := range []time.Duration{r.route.Timeout, r.Waits} {
+	for _, limit := range []time.Duration{r.route.Timeout, r.Timeout} {
 		if limit > 0 {
 			wait = min(wait, limit)
 		}
@@ -257,7 +257,7 @@
 		urgency = r.account.Priority
 	}
 	r.work = placement.Work{
-		Parts: r.Parts, Tokens: r.PromptTokens, Urgency: urgency, Objective: r.route.Objective, Gap: r.route.GapObjective,
+		Parts: r.Segments, Tokens: r.PromptTokens, Urgency: urgency, Objective: r.route.Objective, Gap: r.route.GapObjective,
 		Arrived: r.arrived, Deadline: r.deadline, Probe: r.route.Repeatable(),
 		Risk: r.route.Kind != routes.KindNonIdempotent,
 	}
--- a/transport/httproute/local.go
+++ b/transport/httproute/local.go
@@ -15,8 +15,8 @@
 	"github.com/basilroute/basilroute/transport/backendhttp"
 )
 
-// Local sends requests to the backend servers of the own region.
-type Local struct {
+// LocalDispatcher sends requests to the backend servers of the own region.
+type LocalDispatcher struct {
 	Codec      Codec
 	Backends   *backends.Table
 	Client     *backendhttp.Client
@@ -29,7 +29,7 @@
 }
 
 // Pool returns the pool of a service, made at its first use.
-func (l *Local) Pool(service string) *placement.Pool {
+func (l *LocalDispatcher) Pool(service string) *placement.Pool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pools == nil {
@@ -64,8 +64,8 @@
 
 // reply is the head of an answer, whose body is still to be read.
 type reply struct {
-	*backendhttp.Answer
-	verdict Verdict
+	*backendhttp.Response
+	verdict ResponseMeta
 	server  string
 	ended   func(placement.Outcome)
 	went    func(time.Time) // more of the body went on; nil where nobody asks
@@ -107,20 +107,20 @@
 }
 
 // send sends a request to the server that was chosen and reads the answer's head.
-func (l *Local) send(ctx context.Context, o *outbound, choice placement.Choice) (*reply, *failure) {
+func (l *LocalDispatcher) send(ctx context.Context, o *outbound, choice placement.Choice) (*reply, *failure) {
 	pool, placed := l.Pool(o.service), choice.Placement
 	now := time.Now()
 	server := placed.Server
 	out := l.Codec.Outbound(o.header, Outbound{
-		Server: server.ID, Account: o.account, Left: o.deadline.Sub(now), Urgency: o.urgency(), LastEventID: o.lastEventID,
+		Server: server.ID, Account: o.account, Timeout: o.deadline.Sub(now), Urgency: o.urgency(), LastEventID: o.lastEventID,
 		FetchFrom: choice.FetchFrom,
 	})
 	answer, err := l.Client.Do(ctx, server.Address, &backendhttp.Request{
 		Method: o.method, Target: o.target, Host: o.host, Header: out, Body: o.body,
 	}, backendhttp.Options{
-		Fresh: !o.repeatable, Silence: o.silence(choice.Expected, now), GiveUp: o.giveUp,
-		Belongs: func(resp *http.Response) bool {
-			id := l.Codec.Verdict(resp.StatusCode, resp.Header).RequestID
+		FreshConn: !o.repeatable, IdleTimeout: o.silence(choice.Expected, now), ShouldAbort: o.giveUp,
+		MatchResponse: func(resp *http.Response) bool {
+			id := l.Codec.DecodeResponse(resp.StatusCode, resp.Header).RequestID
 			return id == o.id
 		},
 	})
@@ -143,13 +143,13 @@
 func (o *outbound) urgency() int { return min(1+urgencyStep*o.work.Urgency, leastUrgency) }
 
 // judge reads what the server says beside its answer.
-func (l *Local) judge(o *outbound, pool *placement.Pool, placed *placement.Placement, answer *backendhttp.Answer) (*reply, *failure) {
+func (l *LocalDispatcher) judge(o *outbound, pool *placement.Pool, placed *placement.Placement, answer *backendhttp.Response) (*reply, *failure) {
 	now := time.Now()
-	verdict := l.Codec.Verdict(answer.Status, answer.Header)
+	verdict := l.Codec.DecodeResponse(answer.Status, answer.Header)
 	if verdict.Load != nil {
 		pool.Reported(placed, *verdict.Load, now)
 	}
-	r := &reply{Answer: answer, verdict: verdict, server: placed.Server.ID}
+	r := &reply{Response: answer, verdict: verdict, server: placed.Server.ID}
 	r.ended = func(outcome placement.Outcome) {
 		pool.Done(placed, outcome, time.Now())
 		if outcome == placement.OutcomeFailed {
@@ -183,7 +183,7 @@
 }
 
 // failed takes in that a request got no answer.
-func (l *Local) failed(ctx context.Context, o *outbound, placed *placement.Placement, err error) *failure {
+func (l *LocalDispatcher) failed(ctx context.Context, o *outbound, placed *placement.Placement, err error) *failure {
 	pool := l.Pool(o.service)
 	f := &failure{run: unknown, reason: reasonBroken, server: placed.Server.ID, sent: true, cause: err}
 	outcome := placement.OutcomeFailed
@@ -194,7 +194,7 @@
 		f.run, f.reason, f.sent = notRun, reasonUnreachable, false
 	case errors.Is(err, backendhttp.ErrMalformed):
 		f.reason = reasonMalformed
-	case errors.Is(err, backendhttp.ErrSilent):
+	case errors.Is(err, backendhttp.ErrIdleTimeout):
 		f.reason = reasonSilent
 	}
 	if ctx.Err() != nil {
@@ -217,11 +217,11 @@
 
 // suspect finds out whether the server's process ended with the request in flight:
 // then nothing listens any more. The news is held against the request's fingerprint.
-func (l *Local) suspect(o *outbound, placed *placement.Placement) {
+func (l *LocalDispatcher) suspect(o *outbound, placed *placement.Placement) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		if !l.Client.Refuses(ctx, placed.Server.Address) {
+		if !l.Client.ConnectionRefused(ctx, placed.Server.Address) {
 			return
 		}
 		now := time.Now()
--- a/transport/httproute/path_test.go
+++ b/transport/httproute/path_test.go
@@ -33,7 +33,7 @@
 func (testCodec) DecodeCall(h http.Header) Call {
 	c := Call{RequestID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last-Event-Id")}
 	if ms, err := strconv.Atoi(h.Get("Wait-Ms")); err == nil {
-		c.Waits = time.Duration(ms) * time.Millisecond
+		c.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	return c
 }
@@ -43,15 +43,15 @@
 	delete(out, "Key")
 	out.Set("Server-Id", o.Server)
 	out.Set("Account", o.Account)
-	out.Set("Wait-Ms", strconv.FormatInt(o.Left.Milliseconds(), 10))
+	out.Set("Wait-Ms", strconv.FormatInt(o.Timeout.Milliseconds(), 10))
 	if o.LastEventID != "" {
 		out.Set("Last-Event-Id", o.LastEventID)
 	}
 	return out
 }
 
-func (testCodec) Verdict(_ int, h http.Header) Verdict {
-	return Verdict{RequestID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
+func (testCodec) DecodeResponse(_ int, h http.Header) ResponseMeta {
+	return ResponseMeta{RequestID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
 }
 
 // standIn is a backend server that answers by a script.
@@ -129,10 +129,10 @@
 
 type alone struct{}
 
-func (alone) Unreached(string) {}
+func (alone) MarkUnreachable(string) {}
 
-func (alone) Remotes(string) []Remote        { return nil }
-func (alone) Instances() (fleet, region int) { return 1, 1 }
+func (alone) Remotes(string) []Remote             { return nil }
+func (alone) InstanceCounts() (fleet, region int) { return 1, 1 }
 
 const (
 	testHost = "desk.example"
@@ -149,7 +149,7 @@
 	log := slog.New(slog.DiscardHandler)
 	metrics := NewMetrics(prometheus.NewRegistry())
 	list := quarantine.New()
-	local := &Local{Codec: testCodec{}, Backends: table, Quarantine: list, Log: log, Metrics: metrics,
+	local := &LocalDispatcher{Codec: testCodec{}, Backends: table, Quarantine: list, Log: log, Metrics: metrics,
 		Client: backendhttp.New(backendhttp.Settings{DialTimeout: time.Second, UserTimeout: time.Second, MaxIdle: 8})}
 	local.Pool("svc").Update(placement.Settings{Slots: 8}, table.InRegion("r", time.Now()))
 	never := func() bool { return false }
@@ -157,7 +157,7 @@
 		Region: "r", Codec: testCodec{}, Routes: &routes.Table{}, Ledger: quota.New("i"), Quarantine: list,
 		Retries: retry.NewWindow(retry.WindowSettings{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second}),
 		Remotes: alone{}, Local: local, Peers: local.Client, Log: log, Metrics: metrics,
-		Starting: never, Stopping: never, Leaving: never, Remaining: func() time.Duration { return 0 },
+		Starting: never, Stopping: never, Leaving: never, TimeToShutdown: func() time.Duration { return 0 },
 	}
 	front := httptest.NewServer(f)
 	t.Cleanup(front.Close)
--- a/transport/httproute/relay.go
+++ b/transport/httproute/relay.go
@@ -131,7 +131,7 @@
 	resumedAfter := d.events.lastID
 	checked := resumedAfter == ""
 	if gap := d.gap(); gap > 0 {
-		rep.CutAfter(gap, d.r.mayLeave)
+		rep.SetIdleTimeout(gap, d.r.mayLeave)
 	}
 	for {
 		n, err := rep.Read(buffer)
@@ -219,7 +219,7 @@
 	d.events.reset()
 	outcome := placement.OutcomeFailed
 	f := &failure{run: hasRun, reason: reasonBroken, server: rep.server, sent: true, cause: err}
-	if errors.Is(err, backendhttp.ErrSilent) {
+	if errors.Is(err, backendhttp.ErrIdleTimeout) {
 		f.reason = reasonSilent
 	}
 	if ctx.Err() != nil {
--- a/transport/httproute/sentaway.go
+++ b/transport/httproute/sentaway.go
@@ -31,8 +31,8 @@
 	}
 	key := remote.Region + "\x00" + service
 	since := s.sent[key]
-	if since == nil || since.heard.Before(remote.Heard) {
-		since = &sentSince{heard: remote.Heard}
+	if since == nil || since.heard.Before(remote.ReportedAt) {
+		since = &sentSince{heard: remote.ReportedAt}
 		s.sent[key] = since
 	}
 	return since
@@ -45,10 +45,10 @@
 	defer s.mu.Unlock()
 	since := s.of(remote, service)
 	seconds := since.tokens * float64(instances) / (float64(max(remote.Servers, 1)) * spillReadRate)
-	remote.Expected += time.Duration(seconds * float64(time.Second))
-	taken := min(since.requests*instances, remote.Room)
+	remote.ExpectedFirstByte += time.Duration(seconds * float64(time.Second))
+	taken := min(since.requests*instances, remote.FreeSlots)
 	remote.Running += taken
-	remote.Room -= taken
+	remote.FreeSlots -= taken
 }
 
 func (s *sentAway) add(remote *Remote, service string, tokens int) {
--- a/transport/httpstream/httpstream.go
+++ b/transport/httpstream/httpstream.go
@@ -17,8 +17,8 @@
 	typeFrames = "application/octet-stream"
 )
 
-// Flush wraps a handler so that each write of a streamed body is sent at once.
-func Flush(next http.Handler) http.Handler {
+// FlushHandler wraps a handler so that each write of a streamed body is sent at once.
+func FlushHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		out := &writer{ResponseWriter: w}
 		next.ServeHTTP(out, r.WithContext(context.WithValue(r.Context(), writerKey{}, out)))
--- a/transport/lending/lending.go
+++ b/transport/lending/lending.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// Every is how often the ledger is looked at when no request waits.
-	Every = 50 * time.Millisecond
+	// TickInterval is how often the ledger is looked at when no request waits.
+	TickInterval = 50 * time.Millisecond
 
 	lendersEvery  = 200 * time.Millisecond // the members are looked through
 	borrowTimeout = 500 * time.Millisecond
@@ -47,16 +47,16 @@
 	})
 }
 
-// Loop borrows for a ledger.
-type Loop struct {
+// Borrower borrows for a ledger.
+type Borrower struct {
 	Ledger  *quota.Ledger
 	Pool    *peer.Pool
 	Self    func() slots.Member
 	Lenders func(now time.Time) []Lender // the nearest first
-	// Looked is called as often as the lenders are looked for; it may be nil.
-	Looked func(now time.Time)
-	// Update hands changed documents to the ledger.
-	Update func(now time.Time)
+	// OnRefresh is called as often as the lenders are looked for; it may be nil.
+	OnRefresh func(now time.Time)
+	// ApplyDocuments hands changed documents to the ledger.
+	ApplyDocuments func(now time.Time)
 
 	mu     sync.Mutex
 	open   map[slots.Member]bool      // at most one call to each lender, so that reports arrive in order
@@ -64,10 +64,10 @@
 }
 
 // Run keeps the ledger going until ctx ends: documents, waiting requests and loans.
-func (l *Loop) Run(ctx context.Context) {
+func (l *Borrower) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	ticker := time.NewTicker(Every)
+	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	last, looked := time.Now(), time.Time{}
 	found := newLenders(nil)
@@ -75,12 +75,12 @@
 		now := time.Now()
 		if now.Sub(looked) >= lendersEvery {
 			looked, found = now, newLenders(l.Lenders(now))
-			if l.Looked != nil {
-				l.Looked(now)
+			if l.OnRefresh != nil {
+				l.OnRefresh(now)
 			}
 		}
-		if now.Sub(last) >= Every/2 {
-			l.Update(now)
+		if now.Sub(last) >= TickInterval/2 {
+			l.ApplyDocuments(now)
 			l.Ledger.Tick(now.Sub(last), now)
 			last = now
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-func (l *Loop) set(m slots.Member, open bool) {
+func (l *Borrower) set(m slots.Member, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open == nil {
@@ -106,9 +106,9 @@
 	l.open[m] = true
 }
 
-// OpenTo tells whether a call to some incarnation of an instance is open: its answer
+// HasOpenCall tells whether a call to some incarnation of an instance is open: its answer
 // may still bring a loan.
-func (l *Loop) OpenTo(id string) bool {
+func (l *Borrower) HasOpenCall(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for m := range l.open {
@@ -119,7 +119,7 @@
 	return false
 }
 
-func (l *Loop) borrow(ctx context.Context, found *lenders, running *sync.WaitGroup, now time.Time) {
+func (l *Borrower) borrow(ctx context.Context, found *lenders, running *sync.WaitGroup, now time.Time) {
 	for _, c := range l.Ledger.Plan(l.callable(found.members, now), now) {
 		l.set(c.Lender, true)
 		running.Go(func() {
@@ -150,7 +150,7 @@
 const silentFor = 800 * time.Millisecond
 
 // heard notes whether a lender answered.
-func (l *Loop) heard(lender slots.Member, answered bool, now time.Time) {
+func (l *Borrower) heard(lender slots.Member, answered bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if answered {
@@ -165,7 +165,7 @@
 
 // callable returns the members to whom no call is open, those who did not answer just
 // now last.
-func (l *Loop) callable(members []slots.Member, now time.Time) []slots.Member {
+func (l *Borrower) callable(members []slots.Member, now time.Time) []slots.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.silent, func(_ slots.Member, until time.Time) bool { return !now.Before(until) })
@@ -187,7 +187,7 @@
 }
 
 // call returns nil when no answer came.
-func (l *Loop) call(ctx context.Context, address string, c *quota.Call, timeout time.Duration) []quota.Lent {
+func (l *Borrower) call(ctx context.Context, address string, c *quota.Call, timeout time.Duration) []quota.Lent {
 	client, err := l.Pool.Get(address)
 	if err != nil {
 		return nil // counts as no answer: the ledger asks another lender
@@ -202,7 +202,7 @@
 }
 
 // ReturnAll gives back what was borrowed, for a planned stop.
-func (l *Loop) ReturnAll(ctx context.Context) {
+func (l *Borrower) ReturnAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, returnTimeout)
 	defer cancel()
 	found := newLenders(l.Lenders(time.Now()))
--- a/transport/loadcast/loadcast.go
+++ b/transport/loadcast/loadcast.go
@@ -22,14 +22,14 @@
 // unless it speaks of a hundred servers.
 const maxDatagram = 16 << 10
 
-// Caster sends and receives.
-type Caster struct {
+// Broadcaster sends and receives.
+type Broadcaster struct {
 	Self        string
 	Incarnation uint64
-	// Digest returns the own load.
-	Digest func() placement.Digest
-	// Absorb takes in the load of a source, which replaces what the source said before.
-	Absorb func(source string, d *placement.Digest, now time.Time)
+	// LoadReport returns the own load.
+	LoadReport func() placement.Digest
+	// ApplyReport takes in the load of a source, which replaces what the source said before.
+	ApplyReport func(source string, d *placement.Digest, now time.Time)
 
 	conn *net.UDPConn
 	seq  uint64
@@ -43,19 +43,19 @@
 type position struct{ incarnation, seq uint64 }
 
 // New returns a caster of an instance that decides by an exchange.
-func New(self string, incarnation uint64, exchange *loadhub.Exchange) *Caster {
-	return &Caster{Self: self, Incarnation: incarnation, exchange: exchange, seen: make(map[string]position)}
+func New(self string, incarnation uint64, exchange *loadhub.Exchange) *Broadcaster {
+	return &Broadcaster{Self: self, Incarnation: incarnation, exchange: exchange, seen: make(map[string]position)}
 }
 
 // SetPeers takes in the other live instances of the region.
-func (c *Caster) SetPeers(peers []loadhub.Peer) {
+func (c *Broadcaster) SetPeers(peers []loadhub.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.exchange.SetPeers(peers)
 }
 
 // Listen binds the address.
-func (c *Caster) Listen(address string) error {
+func (c *Broadcaster) Listen(address string) error {
 	addr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return errors.Wrap(err, "load casts")
@@ -65,7 +65,7 @@
 }
 
 // Run sends and receives until ctx ends.
-func (c *Caster) Run(ctx context.Context) {
+func (c *Broadcaster) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.Close() }) // ends receive
 	defer stop()
 	go c.receive(ctx)
@@ -81,20 +81,20 @@
 	}
 }
 
-func (c *Caster) round(now time.Time) {
-	own := c.Digest()
+func (c *Broadcaster) round(now time.Time) {
+	own := c.LoadReport()
 	c.mu.Lock()
 	out, heard := c.exchange.Round(own, now)
 	c.mu.Unlock()
 	for i := range heard {
-		c.Absorb(heard[i].Source, &heard[i].Digest, now)
+		c.ApplyReport(heard[i].Source, &heard[i].Digest, now)
 	}
 	for i := range out {
 		c.send(&out[i])
 	}
 }
 
-func (c *Caster) send(e *loadhub.Envelope) {
+func (c *Broadcaster) send(e *loadhub.Envelope) {
 	c.seq++
 	m := encode(&e.Message)
 	m.Incarnation, m.Seq = c.Incarnation, c.seq
@@ -107,7 +107,7 @@
 	}
 }
 
-func (c *Caster) receive(ctx context.Context) {
+func (c *Broadcaster) receive(ctx context.Context) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buffer)
@@ -125,7 +125,7 @@
 	}
 }
 
-func (c *Caster) hear(m *peerpb.LoadCast, from netip.AddrPort, now time.Time) {
+func (c *Broadcaster) hear(m *peerpb.LoadCast, from netip.AddrPort, now time.Time) {
 	c.mu.Lock()
 	if !c.newer(m) {
 		c.mu.Unlock()
@@ -134,13 +134,13 @@
 	heard, ok := c.exchange.Hear(decode(m), from, now)
 	c.mu.Unlock()
 	if ok {
-		c.Absorb(heard.Source, &heard.Digest, now)
+		c.ApplyReport(heard.Source, &heard.Digest, now)
 	}
 }
 
 // newer tells whether a datagram comes after those of its sender seen before. The caller
 // holds the lock.
-func (c *Caster) newer(m *peerpb.LoadCast) bool {
+func (c *Broadcaster) newer(m *peerpb.LoadCast) bool {
 	last := c.seen[m.GetFrom()]
 	if m.GetIncarnation() < last.incarnation || m.GetIncarnation() == last.incarnation && m.GetSeq() <= last.seq {
 		return false
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -118,7 +118,7 @@
 	if err := c.budget.Wait(ctx); err != nil {
 		return errors.Wrap(err, "platform call budget")
 	}
-	return typed(do(httpidle.With(ctx, c.settings.CallTimeout+extra, c.settings.CallTimeout)))
+	return typed(do(httpidle.WithTimeouts(ctx, c.settings.CallTimeout+extra, c.settings.CallTimeout)))
 }
 
 func typed(err error) error {
