--- a/coordination/admission/limit.go
+++ b/coordination/admission/limit.go
@@ -87,18 +87,18 @@
 	return all, bulk
 }
 
-// Answer is what one request showed of its server.
-type Answer struct {
-	Bulk     bool
-	Latency  time.Duration // to the first token; whole answer of a plain service
-	Expected time.Duration // without waiting in the server; 0 when not known
-	InFlight int           // of this instance, the request included
-	InBulk   int           // of InFlight
-	Failed   bool
+// Sample is what one request showed of its server.
+type Sample struct {
+	Bulk         bool
+	Latency      time.Duration // to the first token; whole answer of a plain service
+	Expected     time.Duration // without waiting in the server; 0 when not known
+	InFlight     int           // of this instance, the request included
+	BulkInFlight int           // of InFlight
+	Failed       bool
 }
 
-// Answered takes in the outcome of a request.
-func (l *Limiter) Answered(a Answer, ceiling int, now time.Time) {
+// AddSample takes in the outcome of a request.
+func (l *Limiter) AddSample(a Sample, ceiling int, now time.Time) {
 	if a.Failed {
 		l.bulk.shrink(now)
 		l.all.shrink(now)
@@ -111,9 +111,9 @@
 	switch {
 	case a.Bulk:
 	case late > slowFloor && ratio > slowFactor:
-		l.congested(a.InBulk, now)
+		l.congested(a.BulkInFlight, now)
 		return
-	case a.InBulk > 0 && late > lateFloor && ratio > lateFactor:
+	case a.BulkInFlight > 0 && late > lateFloor && ratio > lateFactor:
 		l.bulk.shrink(now)
 		return
 	}
@@ -122,12 +122,12 @@
 	}
 	l.all.grow(a.InFlight, float64(ceiling))
 	if a.Bulk {
-		l.bulk.grow(a.InBulk, l.all.limit)
+		l.bulk.grow(a.BulkInFlight, l.all.limit)
 	}
 }
 
 // lateness compares an answer with the time that its server needs alone.
-func (l *Limiter) lateness(a Answer) (late time.Duration, ratio float64) {
+func (l *Limiter) lateness(a Sample) (late time.Duration, ratio float64) {
 	expected := a.Expected
 	if expected == 0 {
 		expected = l.usual(a.Latency)
@@ -135,20 +135,20 @@
 	return a.Latency - expected, float64(a.Latency) / float64(max(expected, 1))
 }
 
-// Report is what a server says of itself, and InBulk how many bulk requests this
+// LoadReport is what a server says of itself, and InBulk how many bulk requests this
 // instance has there.
-type Report struct {
+type LoadReport struct {
 	BootID           string
 	Running, Waiting int
-	InBulk           int
+	BulkInFlight     int
 }
 
-// Reported takes in a server's report. A restarted server starts cold: its
+// ApplyReport takes in a server's report. A restarted server starts cold: its
 // limits begin anew. Once it is known how many requests the server runs at a
 // time, bulk gives way before the last places are taken: an interactive request
 // that finds the batch full waits for a long answer to end, whatever its
 // priority. Where no interactive requests came of late, bulk may have it all.
-func (l *Limiter) Reported(r Report, now time.Time) {
+func (l *Limiter) ApplyReport(r LoadReport, now time.Time) {
 	if l.bootID != "" && r.BootID != l.bootID {
 		*l = *NewLimiter()
 	}
@@ -156,11 +156,11 @@
 	if r.Waiting > waitingAllowed {
 		l.batch = max(r.Running, 1)
 		l.all.limit = min(l.all.limit, float64(l.batch))
-		l.congested(r.InBulk, now)
+		l.congested(r.BulkInFlight, now)
 		return
 	}
 	shared := now.Sub(l.interactive) < sharedFor
-	if shared && r.InBulk > 0 && float64(r.Running) > bulkShare*float64(l.batch) && l.batch > 0 {
+	if shared && r.BulkInFlight > 0 && float64(r.Running) > bulkShare*float64(l.batch) && l.batch > 0 {
 		l.bulk.shrink(now)
 	}
 }
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -23,13 +23,13 @@
 	shedSlack    = 1.5                    // a waiting request is given up when its expected wait is so much too long
 )
 
-// Item is a request that asks for a slot.
-type Item struct {
+// Request is a request that asks for a slot.
+type Request struct {
 	Account string
 	Weight  float64 // the account's rate
 	Class   service.Class
 	Cost    float64   // tokens
-	Start   time.Time // latest time to start
+	StartBy time.Time // latest time to start
 	// OnSettle is called once, with the queue locked, when the request has got
 	// its slot or is refused. It must not call the queue.
 	OnSettle func(*Ticket)
@@ -37,7 +37,7 @@
 
 // Ticket is a request in the queue or with a slot.
 type Ticket struct {
-	Item
+	Request
 	Refusal *refusal.Refusal // set when refused
 	granted bool
 	begun   time.Time // when the slot was granted
@@ -105,13 +105,13 @@
 
 // Submit asks for a slot. A request that cannot make its latest start is
 // refused at once, so that its caller can come back or go elsewhere.
-func (q *Queue) Submit(item Item, now time.Time) *Ticket {
+func (q *Queue) Submit(item Request, now time.Time) *Ticket {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	t := &Ticket{Item: item}
+	t := &Ticket{Request: item}
 	q.notePeak(now)
-	if wait := q.expected(t); now.Add(wait).After(t.Start) {
-		q.refuse(t, wait-t.Start.Sub(now))
+	if wait := q.expected(t); now.Add(wait).After(t.StartBy) {
+		q.refuse(t, wait-t.StartBy.Sub(now))
 		return t
 	}
 	if q.waiting() >= q.settings.Queue && !q.immediate(t) && !q.displace(t) {
@@ -139,9 +139,9 @@
 	q.grant(now)
 }
 
-// Leave takes a waiting request out: its caller went away or its latest start
+// Cancel takes a waiting request out: its caller went away or its latest start
 // has passed. It tells whether the request held no slot.
-func (q *Queue) Leave(t *Ticket, now time.Time) bool {
+func (q *Queue) Cancel(t *Ticket, now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if t.granted {
@@ -172,7 +172,7 @@
 	for len(f.tickets) > 0 {
 		last := f.tickets[len(f.tickets)-1]
 		wait := q.waitBehind(c, f, len(f.tickets)-1)
-		left := last.Start.Sub(now)
+		left := last.StartBy.Sub(now)
 		if left > 0 && wait.Seconds() <= shedSlack*left.Seconds() {
 			return
 		}
@@ -189,10 +189,10 @@
 
 // ClassStats is how a class stands.
 type ClassStats struct {
-	Waiting      int
-	Room         int           // slots that the class can still take
-	ExpectedWait time.Duration // of the next request of a new account
-	HasRoom      bool          // for work from other failure domains
+	Waiting       int
+	FreeSlots     int           // slots that the class can still take
+	ExpectedWait  time.Duration // of the next request of a new account
+	AcceptsRemote bool          // for work from other failure domains
 }
 
 // farShare is the part of the slots that has to be free for a class to take work
@@ -215,10 +215,10 @@
 func (q *Queue) classStats(of service.Class, room int) ClassStats {
 	c := q.class(of)
 	room = max(room, 0)
-	newcomer := &Ticket{Item: Item{Class: of, Weight: c.flows.meanWeight()}}
+	newcomer := &Ticket{Request: Request{Class: of, Weight: c.flows.meanWeight()}}
 	return ClassStats{
-		Waiting: c.flows.count, Room: room, ExpectedWait: q.expected(newcomer),
-		HasRoom: c.flows.count == 0 && room > 0 && room*farShare >= q.capacity,
+		Waiting: c.flows.count, FreeSlots: room, ExpectedWait: q.expected(newcomer),
+		AcceptsRemote: c.flows.count == 0 && room > 0 && room*farShare >= q.capacity,
 	}
 }
 
@@ -246,7 +246,7 @@
 			return
 		}
 		t := c.flows.pop()
-		if now.After(t.Start) {
+		if now.After(t.StartBy) {
 			q.refuse(t, 0)
 			continue
 		}
--- a/coordination/admission/queue_test.go
+++ b/coordination/admission/queue_test.go
@@ -30,8 +30,8 @@
 }
 
 func (b *bench) submit(account string, class service.Class, wait time.Duration) *Ticket {
-	return b.queue.Submit(Item{
-		Account: account, Weight: 1, Class: class, Cost: 100, Start: b.now.Add(wait),
+	return b.queue.Submit(Request{
+		Account: account, Weight: 1, Class: class, Cost: 100, StartBy: b.now.Add(wait),
 		OnSettle: func(t *Ticket) {
 			if t.Granted() {
 				b.running = append(b.running, t)
@@ -175,10 +175,10 @@
 		var all []*Ticket
 		submit := func() {
 			class := rapid.SampledFrom([]service.Class{service.ClassInteractive, service.ClassBulk}).Draw(t, "class")
-			all = append(all, b.queue.Submit(Item{
+			all = append(all, b.queue.Submit(Request{
 				Account: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "account")), Class: class,
 				Weight: rapid.Float64Range(0, 100).Draw(t, "weight"), Cost: rapid.Float64Range(0, 5000).Draw(t, "cost"),
-				Start:    b.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond),
+				StartBy:  b.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond),
 				OnSettle: func(k *Ticket) { settled[k]++ },
 			}, b.now))
 		}
@@ -195,7 +195,7 @@
 					b.queue.Release(k, b.now)
 				}
 			case step == 2:
-				if k := pick(); b.queue.Leave(k, b.now) && k.Refusal == nil {
+				if k := pick(); b.queue.Cancel(k, b.now) && k.Refusal == nil {
 					t.Fatal("left without a refusal")
 				}
 			case step == 3:
@@ -217,7 +217,7 @@
 		switch {
 		case k.Granted() && k.Refusal != nil:
 			t.Fatal("granted and refused")
-		case k.Granted() && k.begun.After(k.Start):
+		case k.Granted() && k.begun.After(k.StartBy):
 			t.Fatal("started after its latest start")
 		case k.Granted() && !released[k]:
 			running++
@@ -261,9 +261,9 @@
 		for _, l := range limiters {
 			limit, _ := l.Limit(1000)
 			for range limit {
-				l.Answered(Answer{Latency: 50 * time.Millisecond, Expected: 50 * time.Millisecond, InFlight: limit}, 1000, now)
+				l.AddSample(Sample{Latency: 50 * time.Millisecond, Expected: 50 * time.Millisecond, InFlight: limit}, 1000, now)
 			}
-			l.Reported(Report{BootID: "boot", Running: min(total, batch), Waiting: max(total-batch, 0)}, now)
+			l.ApplyReport(LoadReport{BootID: "boot", Running: min(total, batch), Waiting: max(total-batch, 0)}, now)
 		}
 	}
 	a, _ := first.Limit(1000)
@@ -281,13 +281,13 @@
 	for range 40 {
 		all, bulk := l.Limit(100)
 		now = now.Add(time.Second)
-		l.Answered(Answer{Bulk: true, Latency: time.Second, Expected: time.Second, InFlight: all, InBulk: bulk}, 100, now)
+		l.AddSample(Sample{Bulk: true, Latency: time.Second, Expected: time.Second, InFlight: all, BulkInFlight: bulk}, 100, now)
 	}
 	before, bulkBefore := l.Limit(100)
 	for range 5 {
 		now = now.Add(time.Second)
-		l.Answered(Answer{Latency: time.Second, Expected: 50 * time.Millisecond, InFlight: before, InBulk: 5}, 100, now)
-		l.Reported(Report{BootID: "boot", Running: before, Waiting: 3, InBulk: 5}, now)
+		l.AddSample(Sample{Latency: time.Second, Expected: 50 * time.Millisecond, InFlight: before, BulkInFlight: 5}, 100, now)
+		l.ApplyReport(LoadReport{BootID: "boot", Running: before, Waiting: 3, BulkInFlight: 5}, now)
 	}
 	after, bulkAfter := l.Limit(100)
 	if after != before || bulkAfter > bulkBefore/2 {
--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -125,11 +125,11 @@
 }
 
 // setPart takes in a document and what is held of it. A smaller share is in force at once.
-func (a *account) setPart(doc *service.Account, part Part, revision int64, minting int) {
+func (a *account) setPart(doc *service.Account, part Allocation, revision int64, minting int) {
 	first := a.doc == nil
 	a.history.note(a.headroom(minting))
-	a.doc, a.even = doc, part.Even
-	a.lends, a.lender, a.lenders = part.Lends, part.Lender, part.Lenders
+	a.doc, a.even = doc, part.EvenShare
+	a.lends, a.lender, a.lenders = part.Lends, part.MinLenderShare, part.Lenders
 	switch {
 	case first, part.Share <= a.share:
 		a.share, a.grownAt = part.Share, 0
--- a/coordination/quota/bench_test.go
+++ b/coordination/quota/bench_test.go
@@ -27,7 +27,7 @@
 	}
 	l := New("d0")
 	l.Update(docs, fleet, 1, now)
-	l.SetHeld([]slots.Held{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
+	l.SetHeldSlots([]slots.HeldSlot{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
 	return l, names
 }
 
@@ -64,7 +64,7 @@
 				}
 				l.Tick(50*time.Millisecond, now)
 				for _, c := range l.Plan(lenders, now) {
-					l.Answered(c, nil, now)
+					l.CompleteCall(c, nil, now)
 				}
 			}
 			b.ReportMetric(float64(held)/float64(n), "heap-B/account")
--- a/coordination/quota/borrower.go
+++ b/coordination/quota/borrower.go
@@ -32,7 +32,7 @@
 // delivered in reportFor is dropped, which loses tokens.
 type pendingReport struct {
 	lender slots.Member
-	Report
+	LoanReport
 	at time.Time
 }
 
@@ -62,16 +62,16 @@
 		b.tokens -= paid
 		tokens -= paid
 		c.loans = append(c.loans, loanPart{b.lender, b.loan, paid})
-		a.report(b.lender, Report{Loan: b.loan, Spent: paid}, now)
+		a.report(b.lender, LoanReport{LoanID: b.loan, Spent: paid}, now)
 	}
 	return tokens
 }
 
 // report adds to what the lender is told, one report for each loan.
-func (a *account) report(lender slots.Member, r Report, now time.Time) {
+func (a *account) report(lender slots.Member, r LoanReport, now time.Time) {
 	for i := range a.reports {
 		p := &a.reports[i]
-		if p.lender == lender && p.Loan == r.Loan {
+		if p.lender == lender && p.LoanID == r.LoanID {
 			p.Spent += r.Spent
 			p.Returned += r.Returned
 			p.Refunded += r.Refunded
@@ -79,7 +79,7 @@
 		}
 	}
 	r.Account = a.name
-	a.reports = append(a.reports, pendingReport{lender: lender, Report: r, at: now})
+	a.reports = append(a.reports, pendingReport{lender: lender, LoanReport: r, at: now})
 }
 
 func (a *account) reportRefund(parts []loanPart, refund float64, now time.Time) {
@@ -89,16 +89,16 @@
 			return
 		}
 		refund -= back
-		a.report(part.lender, Report{Loan: part.loan, Refunded: back}, now)
+		a.report(part.lender, LoanReport{LoanID: part.loan, Refunded: back}, now)
 	}
 }
 
 // Call is one message to a lender.
 type Call struct {
-	Lender  slots.Member
-	Wants   []Want
-	Reports []Report
-	asked   time.Time
+	Lender   slots.Member
+	Requests []LoanRequest
+	Reports  []LoanReport
+	asked    time.Time
 }
 
 // Plan returns the calls to make now. holders are the holders of slots in the
@@ -159,7 +159,7 @@
 	kept := a.borrowings[:0]
 	for _, b := range a.borrowings {
 		if b.tokens > 0 && now.Before(b.until) && b.until.Sub(now) < returnBefore {
-			a.report(b.lender, Report{Loan: b.loan, Returned: b.tokens}, now)
+			a.report(b.lender, LoanReport{LoanID: b.loan, Returned: b.tokens}, now)
 			continue
 		}
 		if b.tokens > 0 && now.Before(b.until) {
@@ -175,7 +175,7 @@
 	kept := a.reports[:0]
 	for _, r := range a.reports {
 		if c := p.reportTo(r.lender); c != nil {
-			c.Reports = append(c.Reports, r.Report)
+			c.Reports = append(c.Reports, r.LoanReport)
 			continue
 		}
 		if p.now.Sub(r.at) < reportFor {
@@ -248,7 +248,7 @@
 		}
 		b.tokens -= back
 		surplus -= back
-		a.report(b.lender, Report{Loan: b.loan, Returned: back}, now)
+		a.report(b.lender, LoanReport{LoanID: b.loan, Returned: back}, now)
 	}
 }
 
@@ -264,7 +264,7 @@
 	lenders = lenders[:min(len(lenders), fan)]
 	for _, lender := range lenders {
 		c := p.call(lender)
-		c.Wants = append(c.Wants, Want{Account: a.name, Tokens: math.Ceil(tokens)})
+		c.Requests = append(c.Requests, LoanRequest{Account: a.name, Tokens: math.Ceil(tokens)})
 	}
 	a.round.asked = append(a.round.asked, lenders...)
 	a.round.open = len(lenders)
@@ -288,19 +288,19 @@
 	a.nextAsk = now.Add(askPause)
 }
 
-// Answered takes in a lender's answer, nil when none came. Loans count from when
+// CompleteCall takes in a lender's answer, nil when none came. Loans count from when
 // they were asked for.
-func (l *Ledger) Answered(c *Call, lent []Lent, now time.Time) {
-	got := make(map[string]Lent, len(lent))
+func (l *Ledger) CompleteCall(c *Call, lent []LoanGrant, now time.Time) {
+	got := make(map[string]LoanGrant, len(lent))
 	for _, item := range lent {
 		got[item.Account] = item
 	}
-	for _, w := range c.Wants {
+	for _, w := range c.Requests {
 		l.takeLoan(c, got[w.Account], w, now)
 	}
 }
 
-func (l *Ledger) takeLoan(c *Call, item Lent, w Want, now time.Time) {
+func (l *Ledger) takeLoan(c *Call, item LoanGrant, w LoanRequest, now time.Time) {
 	s := l.shard(w.Account)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -310,7 +310,7 @@
 	a.heard(c.Lender, item.Tokens > 0, now)
 	if item.Tokens > 0 {
 		a.borrowings = append(a.borrowings, borrowing{
-			lender: c.Lender, loan: item.Loan, tokens: item.Tokens, until: c.asked.Add(LoanValid),
+			lender: c.Lender, loan: item.LoanID, tokens: item.Tokens, until: c.asked.Add(LoanValidity),
 		})
 	}
 	s.activate(a)
@@ -337,7 +337,7 @@
 		s.mu.Lock()
 		for _, a := range s.active {
 			for _, b := range a.borrowings {
-				a.report(b.lender, Report{Loan: b.loan, Returned: b.tokens}, now)
+				a.report(b.lender, LoanReport{LoanID: b.loan, Returned: b.tokens}, now)
 			}
 			a.borrowings = nil
 			a.flushReports(p)
--- a/coordination/quota/bound_test.go
+++ b/coordination/quota/bound_test.go
@@ -25,7 +25,7 @@
 func holder(epoch uint64, now time.Time) *Ledger {
 	l := New("d0")
 	l.Update([]*service.Account{acme(testRate, testBurst, map[string]int64{"d0": 1})}, oneSlot, 1, now)
-	l.SetHeld([]slots.Held{{Slot: 0, Epoch: epoch, Until: now.Add(time.Hour)}}, now)
+	l.SetHeldSlots([]slots.HeldSlot{{Slot: 0, Epoch: epoch, Until: now.Add(time.Hour)}}, now)
 	return l
 }
 
@@ -57,10 +57,10 @@
 // until the loan has expired.
 func TestNewHolderWaitsForOldLoans(t *testing.T) {
 	old, now := fullHolder()
-	lent := old.Lend([]Want{{"acme", testBurst}}, nil, now)[0].Tokens
-	old.SetHeld(nil, now)
+	lent := old.Lend([]LoanRequest{{"acme", testBurst}}, nil, now)[0].Tokens
+	old.SetHeldSlots(nil, now)
 	next := holder(2, now)
-	later := now.Add(LoanValid - time.Millisecond)
+	later := now.Add(LoanValidity - time.Millisecond)
 	within(t, lent+takeAll(next, later)+takeAll(old, later), testBurst)
 	if got := takeAll(next, now.Add(10*time.Second)); got < testRate {
 		t.Errorf("the new holder minted %.1f tokens in ten seconds", got)
@@ -71,7 +71,7 @@
 // of its own, so the old one has to be empty.
 func TestLostSlotDropsTokens(t *testing.T) {
 	l, now := fullHolder()
-	l.SetHeld(nil, now)
+	l.SetHeldSlots(nil, now)
 	within(t, takeAll(l, now), 0)
 }
 
@@ -112,8 +112,8 @@
 // capacity until then, so the lender has minted nothing meanwhile.
 func TestOpenLoanFillsCapacity(t *testing.T) {
 	l, now := fullHolder()
-	lent := l.Lend([]Want{{"acme", testBurst}}, nil, now)[0].Tokens
-	expired := LentUntil(now)
+	lent := l.Lend([]LoanRequest{{"acme", testBurst}}, nil, now)[0].Tokens
+	expired := LoanExpiry(now)
 	within(t, lent+takeAll(l, expired), testBurst)
 	within(t, lent+takeAll(l, expired.Add(time.Second)), testBurst+2*testRate)
 }
@@ -135,9 +135,9 @@
 	l.Acknowledged(2, now)
 	within(t, l.Available("acme", now), testBurst/10)
 	l.Acknowledged(3, now)
-	l.Acknowledged(3, now.Add(LoanValid))
-	within(t, l.Available("acme", now.Add(LoanValid)), testBurst/10)
-	now = now.Add(2 * LoanValid)
+	l.Acknowledged(3, now.Add(LoanValidity))
+	within(t, l.Available("acme", now.Add(LoanValidity)), testBurst/10)
+	now = now.Add(2 * LoanValidity)
 	l.Acknowledged(3, now)
 	if got := l.Available("acme", now.Add(time.Minute)); got <= testBurst/10 {
 		t.Errorf("%.0f tokens after the share has grown", got)
@@ -155,9 +155,9 @@
 	if len(calls) != 1 {
 		t.Fatalf("%d calls to one lender", len(calls))
 	}
-	lent := lender.Lend(calls[0].Wants, calls[0].Reports, now)
+	lent := lender.Lend(calls[0].Requests, calls[0].Reports, now)
 	lent[0].Tokens += 50 // more than it waits for
-	l.Answered(calls[0], lent, now.Add(200*time.Millisecond))
+	l.CompleteCall(calls[0], lent, now.Add(200*time.Millisecond))
 	select {
 	case v := <-w.Done:
 		if !v.OK {
@@ -166,7 +166,7 @@
 	default:
 		t.Error("still waiting")
 	}
-	within(t, l.Available("acme", now.Add(LoanValid)), 0)
+	within(t, l.Available("acme", now.Add(LoanValidity)), 0)
 }
 
 // No lender has anything left and the account's whole rate cannot make up for what
@@ -177,7 +177,7 @@
 	l.Update([]*service.Account{acme(testRate, testBurst, nil)}, oneSlot, 1, start)
 	w := l.Wait("acme", 500, 20*time.Second, start)
 	for _, c := range l.Plan([]slots.Member{lenderID}, start) {
-		l.Answered(c, nil, start)
+		l.CompleteCall(c, nil, start)
 	}
 	l.Plan([]slots.Member{lenderID}, start)
 	l.Tick(50*time.Millisecond, start.Add(50*time.Millisecond))
--- a/coordination/quota/documents.go
+++ b/coordination/quota/documents.go
@@ -6,13 +6,13 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// Part is what one slot held here has of an account.
-type Part struct {
-	Share float64 // of the account's rate and burst, which the slot mints
-	Even  float64 // of them, if all slots had the same
-	Lends bool    // the slot's holder lends to others
-	// Lender is the least share of an instance that lends; 0 when not known.
-	Lender float64
+// Allocation is what one slot held here has of an account.
+type Allocation struct {
+	Share     float64 // of the account's rate and burst, which the slot mints
+	EvenShare float64 // of them, if all slots had the same
+	Lends     bool    // the slot's holder lends to others
+	// MinLenderShare is the least share of an instance that lends; 0 when not known.
+	MinLenderShare float64
 	// Lenders are the ids, ordered, of all instances that lend tokens of the account; nil
 	// where all holders of slots do.
 	Lenders []string
@@ -21,7 +21,7 @@
 // Division divides accounts over the slots of a fleet. Divisions are compared: an equal one
 // gives the same parts.
 type Division interface {
-	Part(doc *service.Account) Part
+	Allocate(doc *service.Account) Allocation
 }
 
 // fleetDivision is by a fleet document: the holders of slots lend.
@@ -30,10 +30,10 @@
 	domain string
 }
 
-// Part implements Division.
-func (d fleetDivision) Part(doc *service.Account) Part {
+// Allocate implements Division.
+func (d fleetDivision) Allocate(doc *service.Account) Allocation {
 	part := share(doc, d.fleet, d.domain)
-	return Part{Share: part, Even: part, Lends: true}
+	return Allocation{Share: part, EvenShare: part, Lends: true}
 }
 
 // Update takes in the documents in force at a configuration revision. Accounts
@@ -63,7 +63,7 @@
 		s.advance(now)
 		a := s.account(doc.Name, now)
 		a.mint(now, s.minting)
-		a.setPart(doc, division.Part(doc), revision, s.minting)
+		a.setPart(doc, division.Allocate(doc), revision, s.minting)
 		s.mu.Unlock()
 	}
 	if len(seen) < len(l.docs) {
@@ -105,7 +105,7 @@
 
 func (a *account) grow(now time.Time, minting int) {
 	if a.growFrom.IsZero() {
-		a.growFrom = LentUntil(now)
+		a.growFrom = LoanExpiry(now)
 	}
 	if now.Before(a.growFrom) {
 		return
--- a/coordination/quota/lender.go
+++ b/coordination/quota/lender.go
@@ -13,23 +13,23 @@
 	until  time.Time
 }
 
-// Want asks for tokens of an account.
-type Want struct {
+// LoanRequest asks for tokens of an account.
+type LoanRequest struct {
 	Account string
 	Tokens  float64
 }
 
-// Lent answers a Want.
-type Lent struct {
+// LoanGrant answers a Want.
+type LoanGrant struct {
 	Account string
 	Tokens  float64
-	Loan    uint64
+	LoanID  uint64
 }
 
-// Report says what became of a loan since the last report.
-type Report struct {
+// LoanReport says what became of a loan since the last report.
+type LoanReport struct {
 	Account  string
-	Loan     uint64
+	LoanID   uint64
 	Spent    float64 // admitted: it no longer fills the lender's capacity
 	Returned float64 // neither spent nor to be spent
 	Refunded float64 // admitted before, but not used
@@ -45,41 +45,41 @@
 
 // Lend takes in the borrower's reports and answers its wants. The tokens are
 // debited before the answer leaves: a lost answer loses tokens and never makes any.
-func (l *Ledger) Lend(wants []Want, reports []Report, now time.Time) []Lent {
+func (l *Ledger) Lend(wants []LoanRequest, reports []LoanReport, now time.Time) []LoanGrant {
 	for _, r := range reports {
 		l.takeReport(r, now)
 	}
-	out := make([]Lent, 0, len(wants))
+	out := make([]LoanGrant, 0, len(wants))
 	for _, w := range wants {
 		out = append(out, l.lend(w, now))
 	}
 	return out
 }
 
-func (l *Ledger) lend(w Want, now time.Time) Lent {
+func (l *Ledger) lend(w LoanRequest, now time.Time) LoanGrant {
 	s := l.shard(w.Account)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance(now)
 	a, ok := s.accounts[w.Account]
 	if !ok || !(w.Tokens > 0) {
-		return Lent{Account: w.Account}
+		return LoanGrant{Account: w.Account}
 	}
 	a.mint(now, s.minting)
 	if len(a.waiters) > 0 {
-		return Lent{Account: w.Account}
+		return LoanGrant{Account: w.Account}
 	}
 	tokens := math.Floor(min(w.Tokens, a.level-a.demand*reserveFor.Seconds(), a.lendable(s.minting))) // loans travel as whole tokens
 	if tokens < 1 {
-		return Lent{Account: w.Account}
+		return LoanGrant{Account: w.Account}
 	}
 	id := a.debit(tokens, s.minting)
 	a.lent += tokens
-	a.loans = append(a.loans, loan{id: id, tokens: tokens, until: LentUntil(now)})
-	return Lent{Account: w.Account, Tokens: tokens, Loan: id}
+	a.loans = append(a.loans, loan{id: id, tokens: tokens, until: LoanExpiry(now)})
+	return LoanGrant{Account: w.Account, Tokens: tokens, LoanID: id}
 }
 
-func (l *Ledger) takeReport(r Report, now time.Time) {
+func (l *Ledger) takeReport(r LoanReport, now time.Time) {
 	s := l.shard(r.Account)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,14 +90,14 @@
 	}
 	a.mint(now, s.minting)
 	a.history.note(a.headroom(s.minting))
-	if open := a.openLoan(r.Loan); open != nil {
+	if open := a.openLoan(r.LoanID); open != nil {
 		a.lent -= open.take(r.Spent)
 		back := open.take(r.Returned)
 		a.lent -= back
 		a.level += back
 		a.clamp(s.minting) // the slot that it was minted for may be lost
 	}
-	a.refund(r.Refunded, r.Loan, s.minting)
+	a.refund(r.Refunded, r.LoanID, s.minting)
 }
 
 func (a *account) openLoan(id uint64) *loan {
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -27,13 +27,13 @@
 const (
 	shardCount = 16
 
-	// LoanValid is how long a loan may be spent. The borrower counts it from
+	// LoanValidity is how long a loan may be spent. The borrower counts it from
 	// when it asked, the lender, with slots.WithDrift, from when it lent.
-	LoanValid = 3 * time.Second
+	LoanValidity = 3 * time.Second
 )
 
-// LentUntil returns when a loan lent at a time has expired for every borrower.
-func LentUntil(lent time.Time) time.Time { return lent.Add(slots.WithDrift(LoanValid)) }
+// LoanExpiry returns when a loan lent at a time has expired for every borrower.
+func LoanExpiry(lent time.Time) time.Time { return lent.Add(slots.WithDrift(LoanValidity)) }
 
 // Ledger admits requests against the tokens that this instance may give out.
 // It is safe for concurrent use.
@@ -87,12 +87,12 @@
 	return &l.shards[xxhash.Sum64String(name)%shardCount]
 }
 
-// SetHeld takes in the slots that this instance may mint for.
+// SetHeldSlots takes in the slots that this instance may mint for.
 //
 // The former holder of a slot may have lent just before it stopped, and these
 // loans still fill the slot's part of the burst. A slot with a new epoch
 // therefore mints only when they have expired; a slot's first epoch has none.
-func (l *Ledger) SetHeld(held []slots.Held, now time.Time) {
+func (l *Ledger) SetHeldSlots(held []slots.HeldSlot, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	grants := make([]grant, len(held))
@@ -101,7 +101,7 @@
 			l.epochs[h.Slot] = h.Epoch
 			l.from[h.Slot] = now
 			if h.Epoch > 1 {
-				l.from[h.Slot] = LentUntil(now)
+				l.from[h.Slot] = LoanExpiry(now)
 			}
 		}
 		grants[i] = grant{from: l.from[h.Slot], until: h.Until}
@@ -265,8 +265,8 @@
 	return a.level + a.borrowed(now)
 }
 
-// Minting returns how many slots mint here now.
-func (l *Ledger) Minting(now time.Time) int {
+// MintingSlots returns how many slots mint here now.
+func (l *Ledger) MintingSlots(now time.Time) int {
 	s := &l.shards[0]
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/quota/restart_test.go
+++ b/coordination/quota/restart_test.go
@@ -43,7 +43,7 @@
 	now := n.clock(w.now)
 	n.ledger.SetProvisional(true, now)
 	w.learn(n, w.doc, 1)
-	n.ledger.SetHeld([]slots.Held{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
+	n.ledger.SetHeldSlots([]slots.HeldSlot{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
 	if old := w.nodes[i]; old != nil {
 		n.id.ID = old.id.ID
 		delete(w.started, old)
@@ -67,7 +67,7 @@
 				owes = owes || open && lender.ID == n.id.ID && lender != n.id
 			}
 		}
-		if !owes || !now.Before(LentUntil(started)) {
+		if !owes || !now.Before(LoanExpiry(started)) {
 			n.ledger.SetProvisional(false, now)
 			delete(w.started, n)
 		}
@@ -124,17 +124,17 @@
 		l := New("d0")
 		l.SetProvisional(provisional, now)
 		l.Update([]*service.Account{doc}, oneSlot, 1, now)
-		l.SetHeld([]slots.Held{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
+		l.SetHeldSlots([]slots.HeldSlot{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
 		return l
 	}
 	now := start.Add(time.Minute)
-	lent := ledger(false, start).Lend([]Want{{"acme", burst}}, nil, now)[0].Tokens
+	lent := ledger(false, start).Lend([]LoanRequest{{"acme", burst}}, nil, now)[0].Tokens
 	if lent < burst/2 {
 		t.Fatalf("%.0f tokens lent", lent)
 	}
 	restarted := ledger(true, now)
-	later := now.Add(LoanValid - time.Millisecond)
-	if again := restarted.Lend([]Want{{"acme", burst}}, nil, later)[0].Tokens; again > 0 {
+	later := now.Add(LoanValidity - time.Millisecond)
+	if again := restarted.Lend([]LoanRequest{{"acme", burst}}, nil, later)[0].Tokens; again > 0 {
 		t.Errorf("%.0f tokens lent while a predecessor's loans are open", again)
 	}
 	within(t, lent+takeAll(restarted, later), burst)
--- a/coordination/quota/start_test.go
+++ b/coordination/quota/start_test.go
@@ -25,7 +25,7 @@
 	default:
 	}
 	l.Update([]*service.Account{acme(testRate, testBurst, map[string]int64{"d0": 1})}, oneSlot, 1, now)
-	l.SetHeld([]slots.Held{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
+	l.SetHeldSlots([]slots.HeldSlot{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
 	l.SetProvisional(false, now)
 	now = now.Add(250 * time.Millisecond)
 	l.Tick(250*time.Millisecond, now)
--- a/coordination/quota/waiter.go
+++ b/coordination/quota/waiter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Verdict ends a wait for tokens.
-type Verdict struct {
+// Decision ends a wait for tokens.
+type Decision struct {
 	OK         bool
 	Charge     Charge
 	RetryAfter time.Duration // when it was refused: when the account may have the tokens
@@ -11,15 +11,15 @@
 
 // Waiter is a request that waits for minting or a loan.
 type Waiter struct {
-	Done chan Verdict // receives one verdict
+	Done chan Decision // receives one verdict
 
 	account  string
 	tokens   float64
 	deadline time.Time
 }
 
-// Wanted is signalled when a request waits, so that a loan is asked for at once.
-func (l *Ledger) Wanted() <-chan struct{} { return l.wanted }
+// BorrowNeeded is signalled when a request waits, so that a loan is asked for at once.
+func (l *Ledger) BorrowNeeded() <-chan struct{} { return l.wanted }
 
 func (l *Ledger) signal() {
 	select {
@@ -37,7 +37,7 @@
 	s.advance(now)
 	a := s.account(name, now)
 	a.mint(now, s.minting)
-	w := &Waiter{Done: make(chan Verdict, 1), account: name, tokens: tokens, deadline: now.Add(limit)}
+	w := &Waiter{Done: make(chan Decision, 1), account: name, tokens: tokens, deadline: now.Add(limit)}
 	a.waiters = append(a.waiters, w)
 	s.activate(a)
 	a.serveWaiters(s.minting, now)
@@ -90,7 +90,7 @@
 		if !ok {
 			return
 		}
-		w.Done <- Verdict{OK: true, Charge: c}
+		w.Done <- Decision{OK: true, Charge: c}
 		a.waiters = a.waiters[1:]
 	}
 }
@@ -110,7 +110,7 @@
 		comes := a.comesIn(missing)
 		late := now.Add(comes).After(w.deadline) && a.round.exhausted(now) && !a.provisional
 		if late || !now.Before(w.deadline) {
-			w.Done <- Verdict{RetryAfter: a.comeBack(w.tokens, comes, now)}
+			w.Done <- Decision{RetryAfter: a.comeBack(w.tokens, comes, now)}
 			missing -= w.tokens
 			continue
 		}
--- a/coordination/quota/world_test.go
+++ b/coordination/quota/world_test.go
@@ -19,7 +19,7 @@
 	id     slots.Member
 	ledger *Ledger
 	rate   float64
-	held   []slots.Held
+	held   []slots.HeldSlot
 	busy   map[slots.Member]bool
 	doc    *service.Account
 	known  int64 // configuration revision
@@ -163,18 +163,18 @@
 func (w *world) call(n *spender, c *Call) {
 	n.busy[c.Lender] = true
 	done := false
-	answer := func(lent []Lent) {
+	answer := func(lent []LoanGrant) {
 		if !done {
 			done = true
 			delete(n.busy, c.Lender)
-			n.ledger.Answered(c, lent, n.clock(w.now))
+			n.ledger.CompleteCall(c, lent, n.clock(w.now))
 		}
 	}
 	w.after(500*time.Millisecond, func() { answer(nil) })
 	w.send(func() {
 		for _, lender := range w.nodes {
 			if lender.id == c.Lender {
-				lent := lender.ledger.Lend(c.Wants, c.Reports, lender.clock(w.now))
+				lent := lender.ledger.Lend(c.Requests, c.Reports, lender.clock(w.now))
 				w.send(func() { answer(lent) })
 			}
 		}
@@ -244,17 +244,17 @@
 }
 
 func (w *world) setHeld(n *spender, s *ownedSlot, holds bool) {
-	var held []slots.Held
+	var held []slots.HeldSlot
 	for _, h := range n.held {
 		if h.Slot != s.index {
 			held = append(held, h)
 		}
 	}
 	if holds {
-		held = append(held, slots.Held{Slot: s.index, Epoch: s.epoch, Until: n.clock(w.now).Add(time.Hour)})
+		held = append(held, slots.HeldSlot{Slot: s.index, Epoch: s.epoch, Until: n.clock(w.now).Add(time.Hour)})
 	}
 	n.held = held
-	n.ledger.SetHeld(held, n.clock(w.now))
+	n.ledger.SetHeldSlots(held, n.clock(w.now))
 }
 
 // overshoot returns by how much some window exceeds rate*T + burst: the fluid
--- a/coordination/quotashare/division.go
+++ b/coordination/quotashare/division.go
@@ -51,18 +51,18 @@
 	return d
 }
 
-// Part implements quota.Division.
-func (d *Division) Part(doc *service.Account) quota.Part {
+// Allocate implements quota.Division.
+func (d *Division) Allocate(doc *service.Account) quota.Allocation {
 	if d.size == 0 {
-		return quota.Part{}
+		return quota.Allocation{}
 	}
 	even := evenShare / float64(d.size)
-	part := quota.Part{Share: even, Even: 1 / float64(d.size), Lender: 1, Lenders: []string{}}
+	part := quota.Allocation{Share: even, EvenShare: 1 / float64(d.size), MinLenderShare: 1, Lenders: []string{}}
 	account := xxhash.Sum64String(doc.Name)
 	for _, members := range d.domains {
 		lenders := top(members, account)
 		rest := (1 - evenShare) / float64(len(d.domains)*len(lenders))
-		part.Lender = min(part.Lender, even+rest)
+		part.MinLenderShare = min(part.MinLenderShare, even+rest)
 		for _, m := range lenders {
 			part.Lenders = append(part.Lenders, m.id)
 			if m.id == d.self {
--- a/coordination/quotashare/division_test.go
+++ b/coordination/quotashare/division_test.go
@@ -27,7 +27,7 @@
 	for _, size := range []int{1, 3, 8, 9, 64, 195, 360} {
 		fleet, total, lends := fleetOf(size, min(size, 6)), 0.0, 0
 		for _, h := range fleet {
-			part := NewDivision(h.ID, fleet).Part(acme)
+			part := NewDivision(h.ID, fleet).Allocate(acme)
 			total += part.Share
 			if part.Lends != slices.Contains(part.Lenders, h.ID) {
 				t.Errorf("%d instances: %s lends: %v, but the lenders are %v", size, h.ID, part.Lends, part.Lenders)
@@ -50,7 +50,7 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "instances") {
 			fleet = append(fleet, Holder{fmt.Sprint("i", i), rapid.SampledFrom([]string{"d0", "d1", "d2"}).Draw(t, "domain")})
 			for _, h := range fleet {
-				share := NewDivision(h.ID, fleet).Part(acme).Share
+				share := NewDivision(h.ID, fleet).Allocate(acme).Share
 				if before, known := parts[h.ID]; known && share > before+1e-12 {
 					t.Fatalf("the part of %s grew from %.4f to %.4f with the instance %d", h.ID, before, share, i)
 				}
@@ -64,7 +64,7 @@
 func TestEachDomainHasLenders(t *testing.T) {
 	fleet := fleetOf(195, 6)
 	byDomain := make(map[string]int)
-	for _, id := range NewDivision("i0", fleet).Part(acme).Lenders {
+	for _, id := range NewDivision("i0", fleet).Allocate(acme).Lenders {
 		at := slices.IndexFunc(fleet, func(h Holder) bool { return h.ID == id })
 		byDomain[fleet[at].Domain]++
 	}
@@ -85,7 +85,7 @@
 			division := NewDivision("i0", fleetOf(size, 6))
 			b.ReportAllocs()
 			for b.Loop() {
-				division.Part(acme)
+				division.Allocate(acme)
 			}
 		})
 	}
--- a/coordination/quotashare/loans_test.go
+++ b/coordination/quotashare/loans_test.go
@@ -52,7 +52,7 @@
 	for i, h := range holders {
 		l := quota.New(h.ID)
 		l.Divide(docs, NewDivision(h.ID, holders), 1, f.now)
-		l.SetHeld([]slots.Held{{Epoch: 1, Until: f.now.Add(time.Hour)}}, f.now)
+		l.SetHeldSlots([]slots.HeldSlot{{Epoch: 1, Until: f.now.Add(time.Hour)}}, f.now)
 		f.members = append(f.members, slots.Member{ID: h.ID, Incarnation: uint64(i)})
 		f.ledgers = append(f.ledgers, l)
 		f.open = append(f.open, make(map[slots.Member]bool))
@@ -94,10 +94,10 @@
 	}
 	f.open[i][c.Lender] = true
 	f.after(way, func() {
-		lent := f.ledgers[j].Lend(c.Wants, c.Reports, f.now)
+		lent := f.ledgers[j].Lend(c.Requests, c.Reports, f.now)
 		f.after(way, func() {
 			delete(f.open[i], c.Lender)
-			f.ledgers[i].Answered(c, lent, f.now)
+			f.ledgers[i].CompleteCall(c, lent, f.now)
 		})
 	})
 }
--- a/coordination/quotashare/quotashare.go
+++ b/coordination/quotashare/quotashare.go
@@ -36,8 +36,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Keeper decides what one instance may mint. It is safe for concurrent use.
-type Keeper struct {
+// HolderSet decides what one instance may mint. It is safe for concurrent use.
+type HolderSet struct {
 	self     string
 	lifetime uint64
 
@@ -59,16 +59,16 @@
 
 func (h Holder) hash() uint64 { return xxhash.Sum64String(h.ID + "\x00" + h.Domain) }
 
-// Word is what an instance says of its set.
-type Word struct {
-	Lifetime uint64 // in which it says so; another one after each restart
-	Hash     uint64 // see Keeper.Hash
-	Agreed   uint64 // see Keeper.Agreed
+// Report is what an instance says of its set.
+type Report struct {
+	Incarnation   uint64 // in which it says so; another one after each restart
+	Hash          uint64 // see Keeper.Hash
+	AgreementHash uint64 // see Keeper.Agreed
 }
 
-// NewKeeper returns a keeper of an instance in one of its lifetimes. It mints nothing.
-func NewKeeper(self string, lifetime uint64) *Keeper {
-	return &Keeper{
+// NewHolderSet returns a keeper of an instance in one of its lifetimes. It mints nothing.
+func NewHolderSet(self string, lifetime uint64) *HolderSet {
+	return &HolderSet{
 		self: self, lifetime: lifetime, holders: make(map[string]string),
 		acks: make(map[string]uint64), agreed: make(map[string]uint64), free: make(map[string]bool),
 	}
@@ -77,7 +77,7 @@
 // Merge takes in instances. complete says that they have every instance that mints: they
 // were read from the store after the own name was written, or come from a peer for
 // whose set that holds and which has the own name.
-func (k *Keeper) Merge(holders []Holder, complete bool) {
+func (k *HolderSet) Merge(holders []Holder, complete bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, h := range holders {
@@ -93,14 +93,14 @@
 	}
 }
 
-func (k *Keeper) has(id string) bool {
+func (k *HolderSet) has(id string) bool {
 	_, ok := k.holders[id]
 	return ok
 }
 
-// Establish takes in that the store says this instance has minted before. What it says after
+// RecordMinted takes in that the store says this instance has minted before. What it says after
 // this lifetime has begun to mint, or after it said the opposite, proves no earlier one.
-func (k *Keeper) Establish() {
+func (k *HolderSet) RecordMinted() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.established || k.newcomer {
@@ -109,41 +109,41 @@
 	k.established, k.minted = true, true
 }
 
-// NeverMinted takes in that the store says this instance has not minted before. It mints so
+// RecordNeverMinted takes in that the store says this instance has not minted before. It mints so
 // late that loans of a predecessor whose word to the store was lost have expired.
-func (k *Keeper) NeverMinted() {
+func (k *HolderSet) RecordNeverMinted() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.cleared, k.newcomer = true, true
 }
 
-// Newcomer tells whether no earlier lifetime of this instance has minted: others may have
+// NoEarlierMint tells whether no earlier lifetime of this instance has minted: others may have
 // lent what is its part now.
-func (k *Keeper) Newcomer() bool {
+func (k *HolderSet) NoEarlierMint() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.minted
 }
 
-// Heard takes in what another instance says of its set.
-func (k *Keeper) Heard(id string, w Word) {
+// ApplyReport takes in what another instance says of its set.
+func (k *HolderSet) ApplyReport(id string, w Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.agreed[id] = w.Agreed
+	k.agreed[id] = w.AgreementHash
 	if w.Hash == k.hash && k.has(k.self) {
-		k.acks[id] = w.Lifetime
+		k.acks[id] = w.Incarnation
 	}
 }
 
-// Agreed names the lifetimes in which all instances of the set went by it, this one
+// AgreementHash names the lifetimes in which all instances of the set went by it, this one
 // included; 0 while one of them has not been heard to.
-func (k *Keeper) Agreed() uint64 {
+func (k *HolderSet) AgreementHash() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.agreedLifetimes()
 }
 
-func (k *Keeper) agreedLifetimes() uint64 {
+func (k *HolderSet) agreedLifetimes() uint64 {
 	if !k.has(k.self) {
 		return 0
 	}
@@ -169,18 +169,18 @@
 	return digest.Sum64()
 }
 
-// NothingOwed takes in that another instance holds nothing that a predecessor lent.
-func (k *Keeper) NothingOwed(id string) {
+// ConfirmNoLoans takes in that another instance holds nothing that a predecessor lent.
+func (k *HolderSet) ConfirmNoLoans(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.free[id] = true
 }
 
-// Clear tells whether just now it became certain that nothing a predecessor lent can be
+// TryClear tells whether just now it became certain that nothing a predecessor lent can be
 // spent any more: the loans have expired, or every instance of the set says that it
 // holds none. A set that may lack somebody proves nothing: the one it lacks may hold a
 // loan, and the whole part would be spent beside it.
-func (k *Keeper) Clear(expired bool) bool {
+func (k *HolderSet) TryClear(expired bool) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.cleared || !expired && !k.allFree() {
@@ -190,9 +190,9 @@
 	return true
 }
 
-// Silent returns the instances of the set that have not yet said that they hold nothing
+// Unconfirmed returns the instances of the set that have not yet said that they hold nothing
 // a predecessor lent; none when that no longer matters.
-func (k *Keeper) Silent() []string {
+func (k *HolderSet) Unconfirmed() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []string
@@ -204,7 +204,7 @@
 	return out
 }
 
-func (k *Keeper) allFree() bool {
+func (k *HolderSet) allFree() bool {
 	for id := range k.holders {
 		if id != k.self && !k.free[id] {
 			return false
@@ -214,28 +214,28 @@
 }
 
 // Cleared tells whether that is certain.
-func (k *Keeper) Cleared() bool {
+func (k *HolderSet) Cleared() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.cleared
 }
 
 // Hash names the set that this instance goes by; 0 for the empty one.
-func (k *Keeper) Hash() uint64 {
+func (k *HolderSet) Hash() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.hash
 }
 
 // Complete tells whether the set has every instance that mints.
-func (k *Keeper) Complete() bool {
+func (k *HolderSet) Complete() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.complete
 }
 
 // Holders returns the set, ordered.
-func (k *Keeper) Holders() []Holder {
+func (k *HolderSet) Holders() []Holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := make([]Holder, 0, len(k.holders))
@@ -246,14 +246,14 @@
 }
 
 // Size returns the number of instances in the set.
-func (k *Keeper) Size() int {
+func (k *HolderSet) Size() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.holders)
 }
 
 // Mints tells whether this instance mints its part.
-func (k *Keeper) Mints() bool {
+func (k *HolderSet) Mints() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.complete || !k.has(k.self) {
--- a/coordination/quotashare/quotashare_test.go
+++ b/coordination/quotashare/quotashare_test.go
@@ -14,7 +14,7 @@
 type world struct {
 	names  []Holder        // in the store
 	minted map[string]bool // by the store
-	live   map[string]*Keeper
+	live   map[string]*HolderSet
 	stage  map[string]int // of joining: 0 nothing, 1 written, 2 read
 	lives  uint64         // begun so far
 }
@@ -37,7 +37,7 @@
 }
 
 func newWorld(ids ...string) *world {
-	w := &world{minted: make(map[string]bool), live: make(map[string]*Keeper), stage: make(map[string]int)}
+	w := &world{minted: make(map[string]bool), live: make(map[string]*HolderSet), stage: make(map[string]int)}
 	for _, id := range ids {
 		w.start(id)
 	}
@@ -47,7 +47,7 @@
 // start begins a lifetime, which knows nothing of the one before.
 func (w *world) start(id string) {
 	w.lives++
-	w.live[id], w.stage[id] = NewKeeper(id, w.lives), 0
+	w.live[id], w.stage[id] = NewHolderSet(id, w.lives), 0
 }
 
 func (w *world) write(id string) {
@@ -66,7 +66,7 @@
 func (w *world) read(id string) {
 	if w.stage[id] == 1 {
 		if w.minted[id] {
-			w.live[id].Establish()
+			w.live[id].RecordMinted()
 		}
 		w.live[id].Merge(w.names, true)
 		w.stage[id] = 2
@@ -83,7 +83,7 @@
 		}
 		a.Merge(b.Holders(), b.Complete() && own)
 	}
-	a.Heard(to, b.word())
+	a.ApplyReport(to, b.word())
 }
 
 // meet lets two instances hear of each other.
@@ -104,7 +104,9 @@
 	}
 }
 
-func (k *Keeper) word() Word { return Word{Lifetime: k.lifetime, Hash: k.Hash(), Agreed: k.Agreed()} }
+func (k *HolderSet) word() Report {
+	return Report{Incarnation: k.lifetime, Hash: k.Hash(), AgreementHash: k.AgreementHash()}
+}
 
 // Guards against parts of all that mint that exceed the whole, in any order of joins, restarts, outages and words.
 func TestPartsNeverExceedTheWhole(t *testing.T) {
@@ -155,7 +157,7 @@
 		}
 		division := NewDivision(id, k.Holders())
 		for _, account := range []string{"acme", "bolt", "coil"} {
-			total[account] += division.Part(&service.Account{Name: account}).Share
+			total[account] += division.Allocate(&service.Account{Name: account}).Share
 		}
 	}
 	for account, share := range total {
@@ -168,16 +170,16 @@
 // All instances restart while one of them is gone for good. Those that minted before
 // mint again at once, without a word from the one that cannot answer.
 func TestRestartNeedsNoWordFromTheGone(t *testing.T) {
-	k := NewKeeper("a", 1)
-	k.Establish()
+	k := NewHolderSet("a", 1)
+	k.RecordMinted()
 	k.Merge(holders("a", "b", "gone"), true)
 	if !k.Mints() {
 		t.Error("a restarted instance waits for one that is gone")
 	}
-	joins := NewKeeper("c", 1)
+	joins := NewHolderSet("c", 1)
 	joins.Merge(holders("a", "b", "c", "gone"), true)
 	for _, id := range []string{"a", "b"} {
-		joins.Heard(id, joins.word())
+		joins.ApplyReport(id, joins.word())
 	}
 	if joins.Mints() {
 		t.Error("a new instance mints although one that may be cut off has not counted it")
@@ -188,27 +190,27 @@
 // are. The first one holds no loan of its predecessor, another one does. Its whole part
 // is free only when the set is complete and all have spoken, or the loans have expired.
 func TestIncompleteSetProvesNoLoanGone(t *testing.T) {
-	k := NewKeeper("a", 1)
+	k := NewHolderSet("a", 1)
 	k.Merge(holders("b"), false)
-	k.NothingOwed("b")
-	if k.Clear(false) {
+	k.ConfirmNoLoans("b")
+	if k.TryClear(false) {
 		t.Error("cleared by the word of one, with others not known")
 	}
 	k.Merge(holders("a", "b", "c"), true)
-	if k.Clear(false) {
+	if k.TryClear(false) {
 		t.Error("cleared though c has not spoken")
 	}
-	if silent := k.Silent(); !slices.Equal(silent, []string{"c"}) {
+	if silent := k.Unconfirmed(); !slices.Equal(silent, []string{"c"}) {
 		t.Errorf("to be asked: %v", silent)
 	}
-	k.NothingOwed("c")
-	if !k.Clear(false) || !k.Cleared() || k.Clear(false) {
+	k.ConfirmNoLoans("c")
+	if !k.TryClear(false) || !k.Cleared() || k.TryClear(false) {
 		t.Error("want it cleared once, when all have spoken")
 	}
-	if silent := k.Silent(); len(silent) != 0 {
+	if silent := k.Unconfirmed(); len(silent) != 0 {
 		t.Errorf("%v are asked though all is clear", silent)
 	}
-	if alone := NewKeeper("a", 1); !alone.Clear(true) {
+	if alone := NewHolderSet("a", 1); !alone.TryClear(true) {
 		t.Error("expired loans stand in the way")
 	}
 }
@@ -283,17 +285,17 @@
 
 // Guards against a newcomer that takes its own word to the store for an earlier lifetime's and mints beside loans of its part.
 func TestOwnWordToTheStoreIsOfNoEarlierLifetime(t *testing.T) {
-	for name, first := range map[string]func(*Keeper){
-		"it mints, then reads that it has":        func(k *Keeper) { k.Mints() },
-		"an earlier lifetime's word comes late":   (*Keeper).NeverMinted,
-		"nothing is known of an earlier lifetime": func(*Keeper) {},
+	for name, first := range map[string]func(*HolderSet){
+		"it mints, then reads that it has":        func(k *HolderSet) { k.Mints() },
+		"an earlier lifetime's word comes late":   (*HolderSet).RecordNeverMinted,
+		"nothing is known of an earlier lifetime": func(*HolderSet) {},
 	} {
-		k := NewKeeper("a0", 1)
+		k := NewHolderSet("a0", 1)
 		k.Merge(holders("a0"), true)
 		first(k)
-		k.Establish()
-		if want := name != "nothing is known of an earlier lifetime"; k.Newcomer() != want {
-			t.Errorf("%s: a newcomer: %v, want %v", name, k.Newcomer(), want)
+		k.RecordMinted()
+		if want := name != "nothing is known of an earlier lifetime"; k.NoEarlierMint() != want {
+			t.Errorf("%s: a newcomer: %v, want %v", name, k.NoEarlierMint(), want)
 		}
 	}
 }
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -35,8 +35,8 @@
 	return &Budget{credit: make(map[string]float64), owed: make(map[string]float64)}
 }
 
-// Request adds a first attempt's share to the credit.
-func (b *Budget) Request(s *service.Service) {
+// RecordRequest adds a first attempt's share to the credit.
+func (b *Budget) RecordRequest(s *service.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, known := b.owed[s.Name]; !known {
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -17,7 +17,7 @@
 	budget, rng := NewBudget(), rand.New(rand.NewPCG(1, 1))
 	retries := 0
 	for n := 1; n <= 5000; n++ {
-		budget.Request(svc)
+		budget.RecordRequest(svc)
 		for attempt := 1; rng.IntN(2) == 0; attempt++ {
 			if _, ok := budget.Take(svc, refusal.CodeBackendFailed, attempt, time.Minute, rng); !ok {
 				break
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -59,8 +59,8 @@
 	return c
 }
 
-// Request counts a request of a caller.
-func (w *Window) Request(service string, now time.Time) {
+// RecordRequest counts a request of a caller.
+func (w *Window) RecordRequest(service string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts(service, now)
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -27,7 +27,7 @@
 			i := rapid.IntRange(0, instances-1).Draw(t, "instance")
 			switch rapid.IntRange(0, 20).Draw(t, "step") {
 			case 0, 1, 2, 3:
-				windows[i].Request("s", now)
+				windows[i].RecordRequest("s", now)
 				requests = append(requests, now)
 			case 4:
 				if restarts < instances/2 {
--- a/coordination/slots/granter.go
+++ b/coordination/slots/granter.go
@@ -27,8 +27,8 @@
 	return 0, true
 }
 
-// OnPromise answers a holder that asks for a promise. valid is 0 when refused.
-func (m *Machine) OnPromise(slot int, seq uint64, now time.Time) (valid time.Duration) {
+// HandlePromiseRequest answers a holder that asks for a promise. valid is 0 when refused.
+func (m *Machine) HandlePromiseRequest(slot int, seq uint64, now time.Time) (valid time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if slot < 0 || slot >= len(m.slots) || !m.slots[slot].granted.promise(seq, m.settings.Promise, now) {
@@ -37,9 +37,9 @@
 	return m.settings.Promise
 }
 
-// OnConsent answers a member that wants to take a slot. When refused, wait is
+// HandleConsentRequest answers a member that wants to take a slot. When refused, wait is
 // how long the promise in the way lasts.
-func (m *Machine) OnConsent(slot int, seq uint64, now time.Time) (wait time.Duration, ok bool) {
+func (m *Machine) HandleConsentRequest(slot int, seq uint64, now time.Time) (wait time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if slot < 0 || slot >= len(m.slots) || m.slots[slot].held != nil {
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -184,13 +184,13 @@
 func (m *Machine) askAll(s *slot, r Record, consent bool, now time.Time, out *Actions) {
 	for _, member := range r.List {
 		if member != m.self {
-			out.Asks = append(out.Asks, Ask{Slot: s.index, To: member, Epoch: r.Epoch, Seq: r.Seq, Consent: consent, Asked: now})
+			out.Requests = append(out.Requests, Request{Slot: s.index, To: member, Epoch: r.Epoch, Seq: r.Seq, Consent: consent, SentAt: now})
 		}
 	}
 }
 
-// Promised takes in a member's promise. It counts from when it was asked for.
-func (m *Machine) Promised(a Ask, by Member, valid time.Duration) {
+// RecordPromise takes in a member's promise. It counts from when it was asked for.
+func (m *Machine) RecordPromise(a Request, by Member, valid time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.slots[a.Slot]
@@ -198,5 +198,5 @@
 		return
 	}
 	key := promiseKey{by, a.Seq}
-	s.promised[key] = latest(s.promised[key], a.Asked.Add(valid))
+	s.promised[key] = latest(s.promised[key], a.SentAt.Add(valid))
 }
--- a/coordination/slots/machine.go
+++ b/coordination/slots/machine.go
@@ -41,20 +41,20 @@
 	Expect int64
 }
 
-// Ask is a question for another member: for a promise, or for a consent.
-type Ask struct {
+// Request is a question for another member: for a promise, or for a consent.
+type Request struct {
 	Slot    int
 	To      Member
 	Epoch   uint64
 	Seq     uint64 // version of the slot that is asked about
 	Consent bool
-	Asked   time.Time
+	SentAt  time.Time
 }
 
 // Actions are what the caller has to carry out.
 type Actions struct {
-	Writes []Write
-	Asks   []Ask
+	Writes   []Write
+	Requests []Request
 }
 
 // Outcome is what became of a write.
@@ -67,8 +67,8 @@
 	Unknown          // it may have taken effect, or may yet
 )
 
-// Held is a slot that this instance may mint for.
-type Held struct {
+// HeldSlot is a slot that this instance may mint for.
+type HeldSlot struct {
 	Slot  int
 	Epoch uint64
 	Until time.Time // exclusive
@@ -175,14 +175,14 @@
 	m.leaving = true
 }
 
-// Held returns the slots that this instance may mint for now.
-func (m *Machine) Held(now time.Time) []Held {
+// HeldSlots returns the slots that this instance may mint for now.
+func (m *Machine) HeldSlots(now time.Time) []HeldSlot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []Held
+	var out []HeldSlot
 	for _, s := range m.slots {
 		if until := s.mintsUntil(); now.Before(until) {
-			out = append(out, Held{Slot: s.index, Epoch: s.held.Record.Epoch, Until: until})
+			out = append(out, HeldSlot{Slot: s.index, Epoch: s.held.Record.Epoch, Until: until})
 		}
 	}
 	return out
@@ -195,9 +195,9 @@
 	return !slices.ContainsFunc(m.slots, func(s *slot) bool { return s.held != nil || s.pending != nil })
 }
 
-// Busy tells whether this instance holds or is listed for a slot, or whether a
+// NeedsFrequentReads tells whether this instance holds or is listed for a slot, or whether a
 // slot is free, so that it has to look at the store often.
-func (m *Machine) Busy() bool {
+func (m *Machine) NeedsFrequentReads() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.ContainsFunc(m.slots, func(s *slot) bool {
@@ -324,9 +324,9 @@
 
 func (s *slot) free() bool { return s.read && (s.seen.Revision == 0 || s.seen.Record.Released) }
 
-// Unsettled tells whether a slot is free or not read yet, or a write is open, so
+// NeedsPromptRead tells whether a slot is free or not read yet, or a write is open, so
 // that the store has to be read soon.
-func (m *Machine) Unsettled() bool {
+func (m *Machine) NeedsPromptRead() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.ContainsFunc(m.slots, func(s *slot) bool {
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -56,7 +56,7 @@
 	}
 	w.run(6*time.Second, func() {})
 	for _, n := range w.nodes {
-		if got := len(n.m.Held(n.clock(w.now))); got != 1 {
+		if got := len(n.m.HeldSlots(n.clock(w.now))); got != 1 {
 			t.Errorf("%s holds %d slots", n.id.ID, got)
 		}
 	}
@@ -101,10 +101,10 @@
 	w := newWorld(3, 3, testSettings(2, 1), faults{})
 	w.run(6*time.Second, func() {})
 	lost := w.nodes[0]
-	slot := lost.m.Held(lost.clock(w.now))[0].Slot
+	slot := lost.m.HeldSlots(lost.clock(w.now))[0].Slot
 	lost.storeCut, lost.cutUntil = w.now+5*w.settings.Lease, w.now+5*w.settings.Lease
 	w.run(w.now+w.settings.Lease+w.settings.Promise, func() {})
-	if got := len(lost.m.Held(lost.clock(w.now))); got != 0 {
+	if got := len(lost.m.HeldSlots(lost.clock(w.now))); got != 0 {
 		t.Errorf("cut off, but it still holds %d slots", got)
 	}
 	w.run(w.now+w.settings.Lease, func() {})
--- a/coordination/slots/taker.go
+++ b/coordination/slots/taker.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// Consented takes in a member's consent to the version asked about.
-func (m *Machine) Consented(a Ask, by Member) {
+// RecordConsent takes in a member's consent to the version asked about.
+func (m *Machine) RecordConsent(a Request, by Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if by == a.To {
--- a/coordination/slots/world_test.go
+++ b/coordination/slots/world_test.go
@@ -156,7 +156,7 @@
 	for _, write := range actions.Writes {
 		w.write(n, write)
 	}
-	for _, ask := range actions.Asks {
+	for _, ask := range actions.Requests {
 		w.ask(n, ask)
 	}
 }
@@ -200,7 +200,7 @@
 	return Written, w.revision
 }
 
-func (w *world) ask(from *node, a Ask) {
+func (w *world) ask(from *node, a Request) {
 	i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.id.ID == a.To.ID })
 	if i < 0 {
 		return
@@ -210,13 +210,13 @@
 	w.send(cut, to, func() {
 		now := to.clock(w.now)
 		if a.Consent {
-			if _, ok := to.m.OnConsent(a.Slot, a.Seq, now); ok {
-				w.send(cut, from, func() { from.m.Consented(a, to.id) })
+			if _, ok := to.m.HandleConsentRequest(a.Slot, a.Seq, now); ok {
+				w.send(cut, from, func() { from.m.RecordConsent(a, to.id) })
 			}
 			return
 		}
-		if valid := to.m.OnPromise(a.Slot, a.Seq, now); valid > 0 {
-			w.send(cut, from, func() { from.m.Promised(a, to.id, valid) })
+		if valid := to.m.HandlePromiseRequest(a.Slot, a.Seq, now); valid > 0 {
+			w.send(cut, from, func() { from.m.RecordPromise(a, to.id, valid) })
 		}
 	})
 }
@@ -226,7 +226,7 @@
 func (w *world) holders(slot int) []Member {
 	var out []Member
 	for _, n := range w.nodes {
-		if slices.ContainsFunc(n.m.Held(n.clock(w.now)), func(h Held) bool { return h.Slot == slot }) {
+		if slices.ContainsFunc(n.m.HeldSlots(n.clock(w.now)), func(h HeldSlot) bool { return h.Slot == slot }) {
 			out = append(out, n.id)
 		}
 	}
--- a/experiment/policy_gateway.go
+++ b/experiment/policy_gateway.go
@@ -65,7 +65,7 @@
 		g.index.Apply(entry.Slot(), e.events[first:])
 		l := g.limiter(entry)
 		load := entry.View().Load
-		l.Reported(admission.Report{BootID: load.BootID, Running: load.Running, Waiting: load.Waiting, InBulk: entry.Bulk()}, now)
+		l.ApplyReport(admission.LoadReport{BootID: load.BootID, Running: load.Running, Waiting: load.Waiting, BulkInFlight: entry.Bulk()}, now)
 		entry.SetLimit(l.Limit(int(g.sim.service.Limits.Concurrency)))
 	}
 	routing.EjectSlow(g.table, g.sim.service.Name, now)
@@ -115,7 +115,7 @@
 }
 
 func simQueue(s admission.ClassStats) routing.Queue {
-	return routing.Queue{ExpectedWait: s.ExpectedWait, HasRoom: s.HasRoom, Room: s.Room}
+	return routing.Queue{ExpectedWait: s.ExpectedWait, HasRoom: s.AcceptsRemote, Room: s.FreeSlots}
 }
 
 // place is called when the job has its slot here.
@@ -183,7 +183,7 @@
 	if answered {
 		routing.Answered(j.entry, j.latency, j.expected, now.Sub(j.sent))
 	} else {
-		g.sample(j, admission.Answer{Failed: true})
+		g.sample(j, admission.Sample{Failed: true})
 		routing.Failed(g.table, j.entry, now)
 	}
 	g.refresh()
@@ -192,15 +192,15 @@
 
 // began takes in the first token, as dispatch does.
 func (g *simGateway) began(j *job) {
-	g.sample(j, admission.Answer{
-		Bulk: j.bulk(), Latency: j.latency, Expected: j.alone, InFlight: j.entry.InFlight(), InBulk: j.entry.Bulk(),
+	g.sample(j, admission.Sample{
+		Bulk: j.bulk(), Latency: j.latency, Expected: j.alone, InFlight: j.entry.InFlight(), BulkInFlight: j.entry.Bulk(),
 	})
 	g.refresh()
 }
 
-func (g *simGateway) sample(j *job, a admission.Answer) {
+func (g *simGateway) sample(j *job, a admission.Sample) {
 	l := g.limiter(j.entry)
 	ceiling := int(g.sim.service.Limits.Concurrency)
-	l.Answered(a, ceiling, g.sim.time())
+	l.AddSample(a, ceiling, g.sim.time())
 	j.entry.SetLimit(l.Limit(ceiling))
 }
--- a/experiment/policy_line.go
+++ b/experiment/policy_line.go
@@ -31,8 +31,8 @@
 func (l *queueLine) submit(j *job) {
 	start := l.sim.time().Add(l.service.Class(j.class).MaxWait)
 	settled := false
-	t := l.queue.Submit(admission.Item{
-		Account: j.account.name, Weight: j.account.rate, Class: j.class, Cost: float64(j.prompt + j.output), Start: start,
+	t := l.queue.Submit(admission.Request{
+		Account: j.account.name, Weight: j.account.rate, Class: j.class, Cost: float64(j.prompt + j.output), StartBy: start,
 		OnSettle: func(t *admission.Ticket) {
 			settled = true
 			granted := t.Granted()
@@ -45,7 +45,7 @@
 	}
 	l.sim.after(start.Sub(l.sim.time()), func() {
 		if !settled {
-			l.queue.Leave(t, l.sim.time())
+			l.queue.Cancel(t, l.sim.time())
 		}
 	})
 }
@@ -114,7 +114,7 @@
 
 func (l *fifoLine) stats() admission.Stats {
 	room := max(l.capacity-l.running, 0)
-	c := admission.ClassStats{Waiting: len(l.waiting), Room: room, HasRoom: len(l.waiting) == 0 && room*8 >= l.capacity && room > 0}
+	c := admission.ClassStats{Waiting: len(l.waiting), FreeSlots: room, AcceptsRemote: len(l.waiting) == 0 && room*8 >= l.capacity && room > 0}
 	if len(l.waiting) > 0 {
 		c.ExpectedWait = time.Second
 	}
--- a/experiment/policy_retry.go
+++ b/experiment/policy_retry.go
@@ -70,7 +70,7 @@
 	budget := retry.NewBudget()
 	for n := range retryRequests {
 		now := time.Unix(1_000_000, 0).Add(time.Duration(n) * retryEvery)
-		budget.Request(svc)
+		budget.RecordRequest(svc)
 		exclude := make(map[string]bool)
 		for attempt := 1; ; attempt++ {
 			list := table.Entries(svc.Name)
--- a/experiment/quota_policies.go
+++ b/experiment/quota_policies.go
@@ -35,13 +35,13 @@
 	for instance := range quotaInstances {
 		l := quota.New(quotaDomain(quotaDomainOf(instance)))
 		l.Update(w.docs, w.fleet, 1, w.clock())
-		var held []slots.Held
+		var held []slots.HeldSlot
 		for slot := range quotaSlots {
 			if slot%perDomain == instance%perDomain {
-				held = append(held, slots.Held{Slot: slot, Epoch: 1, Until: w.clock().Add(time.Hour)})
+				held = append(held, slots.HeldSlot{Slot: slot, Epoch: 1, Until: w.clock().Add(time.Hour)})
 			}
 		}
-		l.SetHeld(held, w.clock())
+		l.SetHeldSlots(held, w.clock())
 		p.ledgers = append(p.ledgers, l)
 		p.busy = append(p.busy, make(map[int]bool))
 	}
@@ -87,7 +87,7 @@
 	for instance, l := range p.ledgers {
 		wanted := false
 		select {
-		case <-l.Wanted():
+		case <-l.BorrowNeeded():
 			wanted = true
 		default:
 		}
@@ -132,16 +132,16 @@
 func (p *loanPolicy) call(w *quotaWorld, from, to int, c *quota.Call) {
 	p.busy[from][to] = true
 	answered := false
-	answer := func(lent []quota.Lent) {
+	answer := func(lent []quota.LoanGrant) {
 		if !answered {
 			answered = true
 			delete(p.busy[from], to)
-			p.ledgers[from].Answered(c, lent, w.clock())
+			p.ledgers[from].CompleteCall(c, lent, w.clock())
 		}
 	}
 	w.after(lendTimeout, func() { answer(nil) })
 	w.send(from, to, func() {
-		lent := p.ledgers[to].Lend(c.Wants, c.Reports, w.clock())
+		lent := p.ledgers[to].Lend(c.Requests, c.Reports, w.clock())
 		w.send(to, from, func() { answer(lent) })
 	})
 }
--- a/instance/domains.go
+++ b/instance/domains.go
@@ -48,7 +48,7 @@
 }
 
 func queueOf(s admission.ClassStats) routing.Queue {
-	return routing.Queue{ExpectedWait: s.ExpectedWait, HasRoom: s.HasRoom, Room: s.Room}
+	return routing.Queue{ExpectedWait: s.ExpectedWait, HasRoom: s.AcceptsRemote, Room: s.FreeSlots}
 }
 
 // Peers implements dispatch.Domains.
--- a/instance/poll.go
+++ b/instance/poll.go
@@ -116,10 +116,10 @@
 	stats := i.local.Admission.Stats(svc)
 	sum.Queued += uint32(stats.Waiting)
 	sum.ExpectedWaitMs = uint32(stats.Interactive.ExpectedWait.Milliseconds())
-	sum.HasRoom = stats.Interactive.HasRoom
-	sum.Room = uint32(stats.Interactive.Room)
+	sum.HasRoom = stats.Interactive.AcceptsRemote
+	sum.Room = uint32(stats.Interactive.FreeSlots)
 	sum.BulkWaitMs = uint32(stats.Bulk.ExpectedWait.Milliseconds())
-	sum.BulkHasRoom = stats.Bulk.HasRoom
-	sum.BulkRoom = uint32(stats.Bulk.Room)
+	sum.BulkHasRoom = stats.Bulk.AcceptsRemote
+	sum.BulkRoom = uint32(stats.Bulk.FreeSlots)
 	return sum
 }
--- a/instance/quota.go
+++ b/instance/quota.go
@@ -105,4 +105,4 @@
 }
 
 // Minting returns how many slots this instance mints for.
-func (i *Instance) Minting() int { return i.ledger.Minting(time.Now()) }
+func (i *Instance) Minting() int { return i.ledger.MintingSlots(time.Now()) }
--- a/instance/routed/facts.go
+++ b/instance/routed/facts.go
@@ -192,7 +192,7 @@
 	away := n.storeAway()
 	n.members.UpdateSelf(now, func(m *peerpb.Member) {
 		m.Loads, m.ConfigRevision, m.StoreUnreachable = loads, config.Version, away
-		m.QuotaHash, m.QuotaAgreed = n.shares.Hash(), n.shares.Agreed()
+		m.QuotaHash, m.QuotaAgreed = n.shares.Hash(), n.shares.AgreementHash()
 	})
 }
 
--- a/instance/routed/features_test.go
+++ b/instance/routed/features_test.go
@@ -34,7 +34,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				instance := func(on bool) *Node {
 					return &Node{
-						settings: Settings{ID: "front-1"}, started: time.Now(), shares: quotashare.NewKeeper("front-1", 1),
+						settings: Settings{ID: "front-1"}, started: time.Now(), shares: quotashare.NewHolderSet("front-1", 1),
 						features: features.NewSet(map[features.Name]bool{c.feature: on}),
 					}
 				}
--- a/instance/routed/join.go
+++ b/instance/routed/join.go
@@ -86,9 +86,9 @@
 	}
 	n.members.SetSeeds(append(seeds, n.staticSeeds()...))
 	if own.Minted {
-		n.shares.Establish()
+		n.shares.RecordMinted()
 	} else if !n.shares.Mints() {
-		n.shares.NeverMinted()
+		n.shares.RecordNeverMinted()
 	}
 	n.shares.Merge(holders, true)
 	n.log.Info("joined", "holders", len(found), "minted_before", own.Minted)
--- a/instance/routed/loans.go
+++ b/instance/routed/loans.go
@@ -27,7 +27,7 @@
 // askSilent asks all that share the quotas whether they hold loans of a predecessor.
 func (n *Node) askSilent(ctx context.Context) {
 	for ctx.Err() == nil && !n.shares.Cleared() && n.features.On(features.ConfirmLoans) {
-		silent := n.shares.Silent()
+		silent := n.shares.Unconfirmed()
 		rand.Shuffle(len(silent), func(a, b int) { silent[a], silent[b] = silent[b], silent[a] })
 		for _, id := range silent[:min(len(silent), silentFan)] {
 			if address, ok := n.holderAddress.Load(id); ok {
@@ -54,14 +54,14 @@
 		return
 	}
 	if !resp.GetOwes() && resp.GetFrom() == id {
-		n.shares.NothingOwed(id)
+		n.shares.ConfirmNoLoans(id)
 	}
 }
 
 // clearLoans lets this instance use its whole part when nothing that a predecessor lent
 // can be spent any more.
 func (n *Node) clearLoans(now time.Time) {
-	if n.shares.Clear(!now.Before(quota.LentUntil(n.started))) {
+	if n.shares.TryClear(!now.Before(quota.LoanExpiry(n.started))) {
 		n.log.Info("quota_cleared", "after_ms", now.Sub(n.started).Milliseconds())
 	}
 }
--- a/instance/routed/members.go
+++ b/instance/routed/members.go
@@ -119,7 +119,7 @@
 		n.quarantine.Merge(peer.DecodeQuarantine(q))
 	}
 	if asked.GetLentBefore() && !resp.GetOwes() {
-		n.shares.NothingOwed(resp.GetFrom())
+		n.shares.ConfirmNoLoans(resp.GetFrom())
 	}
 	n.takeHolders(resp)
 	if next != nil {
@@ -193,10 +193,10 @@
 	var regional []string
 	var peers []loadhub.Peer
 	fleet := 0
-	agreed := n.shares.Agreed()
+	agreed := n.shares.AgreementHash()
 	for _, m := range n.members.Members(now) {
-		n.shares.Heard(m.Entry.GetId(), quotashare.Word{
-			Lifetime: m.Entry.GetIncarnation(), Hash: m.Entry.GetQuotaHash(), Agreed: m.Entry.GetQuotaAgreed(),
+		n.shares.ApplyReport(m.Entry.GetId(), quotashare.Report{
+			Incarnation: m.Entry.GetIncarnation(), Hash: m.Entry.GetQuotaHash(), AgreementHash: m.Entry.GetQuotaAgreed(),
 		})
 		if !m.Reachable || m.Leaving() {
 			continue
@@ -211,7 +211,7 @@
 			}
 		}
 	}
-	if n.shares.Agreed() != agreed {
+	if n.shares.AgreementHash() != agreed {
 		n.spread() // an instance that joins waits for this word of all others
 	}
 	n.caster.SetPeers(n.castPeers(peers))
--- a/instance/routed/node.go
+++ b/instance/routed/node.go
@@ -45,7 +45,7 @@
 	backends   *backends.Table
 	members    *membership.Table
 	ledger     *quota.Ledger
-	shares     *quotashare.Keeper
+	shares     *quotashare.HolderSet
 	features   features.Set
 	quarantine *quarantine.List
 	local      *httproute.LocalDispatcher
@@ -131,7 +131,7 @@
 		settings: settings, features: set, source: source, codec: codec, log: log.With("instance", settings.ID),
 		registry: prometheus.NewRegistry(), started: started,
 		routes: &routes.Table{}, backends: backends.New(), ledger: quota.New(settings.ID),
-		shares: quotashare.NewKeeper(settings.ID, uint64(started.UnixNano())), quarantine: quarantine.New(),
+		shares: quotashare.NewHolderSet(settings.ID, uint64(started.UnixNano())), quarantine: quarantine.New(),
 		pool: peer.NewPool(insecure.NewCredentials()), news: make(chan struct{}, 1),
 		listeners: make(map[string]net.Listener), failed: make(chan error, 8),
 	}
--- a/instance/routed/quota.go
+++ b/instance/routed/quota.go
@@ -20,12 +20,12 @@
 
 // updateHeld tells the ledger whether this instance mints its part.
 func (n *Node) updateHeld(now time.Time) {
-	var held []slots.Held
+	var held []slots.HeldSlot
 	if n.shares.Mints() {
-		held = []slots.Held{{Slot: 0, Epoch: n.epoch(), Until: now.Add(forever)}}
+		held = []slots.HeldSlot{{Slot: 0, Epoch: n.epoch(), Until: now.Add(forever)}}
 	}
 	n.ledger.SetProvisional(!n.shares.Cleared(), now)
-	n.ledger.SetHeld(held, now)
+	n.ledger.SetHeldSlots(held, now)
 	if count := uint32(len(held)); count != n.members.Self().GetSlots() {
 		n.log.Info("quota_part", "mints", count > 0, "holders", n.shares.Size())
 		n.members.UpdateSelf(now, func(m *peerpb.Member) { m.Slots = count })
@@ -40,7 +40,7 @@
 )
 
 func (n *Node) epoch() uint64 {
-	if n.shares.Newcomer() {
+	if n.shares.NoEarlierMint() {
 		return epochOfNewcomer
 	}
 	return epochOfOwn
--- a/instance/routed/quota_test.go
+++ b/instance/routed/quota_test.go
@@ -15,15 +15,15 @@
 	for minted, want := range map[bool]int{false: 0, true: 1} {
 		n := newQuotaNode()
 		if minted {
-			n.shares.Establish()
+			n.shares.RecordMinted()
 		}
 		n.shares.Merge([]quotashare.Holder{{ID: n.settings.ID, Domain: n.settings.Domain}}, true)
 		now := time.Now()
 		n.updateHeld(now)
-		if got := n.ledger.Minting(now); got != want {
+		if got := n.ledger.MintingSlots(now); got != want {
 			t.Errorf("minted before: %v, mints %d parts, want %d", minted, got, want)
 		}
-		if got := n.ledger.Minting(quota.LentUntil(now)); got != 1 {
+		if got := n.ledger.MintingSlots(quota.LoanExpiry(now)); got != 1 {
 			t.Errorf("minted before: %v, mints %d parts once loans have expired", minted, got)
 		}
 	}
@@ -35,11 +35,11 @@
 	if _, err := n.enter(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if !n.shares.Cleared() || len(n.shares.Silent()) > 0 {
-		t.Errorf("cleared: %v, to be asked: %v", n.shares.Cleared(), n.shares.Silent())
+	if !n.shares.Cleared() || len(n.shares.Unconfirmed()) > 0 {
+		t.Errorf("cleared: %v, to be asked: %v", n.shares.Cleared(), n.shares.Unconfirmed())
 	}
 	n.updateHeld(time.Now())
-	if got := n.ledger.Minting(time.Now()); got != 0 {
+	if got := n.ledger.MintingSlots(time.Now()); got != 0 {
 		t.Errorf("mints %d parts at once, beside what a predecessor may have lent whose word to the store was lost", got)
 	}
 }
--- a/instance/slots.go
+++ b/instance/slots.go
@@ -77,7 +77,7 @@
 		return k.settings.Slots
 	}
 	if k.growFrom.IsZero() {
-		k.growFrom = quota.LentUntil(now)
+		k.growFrom = quota.LoanExpiry(now)
 	}
 	if now.Before(k.growFrom) {
 		return k.settings.Slots
@@ -106,7 +106,7 @@
 		for _, w := range actions.Writes {
 			i.slots.running.Go(func() { i.writeSlot(ctx, w) })
 		}
-		for _, a := range actions.Asks {
+		for _, a := range actions.Requests {
 			i.slots.running.Go(func() { i.askPeer(ctx, a) })
 		}
 		i.updateHeld()
@@ -115,8 +115,8 @@
 
 func (i *Instance) updateHeld() {
 	now := time.Now()
-	held := i.slots.machine.Held(now)
-	i.ledger.SetHeld(held, now)
+	held := i.slots.machine.HeldSlots(now)
+	i.ledger.SetHeldSlots(held, now)
 	if count := uint32(len(held)); count != i.members.Self().GetSlots() {
 		i.members.UpdateSelf(now, func(m *peerpb.Member) { m.Slots = count })
 	}
@@ -173,9 +173,9 @@
 func (i *Instance) readPause() time.Duration {
 	fleet := i.catalog.Fleet()
 	switch {
-	case fleet == nil, i.slots.machine.Unsettled():
+	case fleet == nil, i.slots.machine.NeedsPromptRead():
 		return readSoon
-	case i.slots.machine.Busy():
+	case i.slots.machine.NeedsFrequentReads():
 		return fleet.Slots.Lease / readsPerLease
 	}
 	return fleet.Slots.Lease
@@ -212,7 +212,7 @@
 
 // askPeer asks for a promise or a consent. An answer of another incarnation does
 // not count.
-func (i *Instance) askPeer(ctx context.Context, a slots.Ask) {
+func (i *Instance) askPeer(ctx context.Context, a slots.Request) {
 	address := i.addressOf(a.To)
 	client, err := i.pool.Get(address)
 	if address == "" || err != nil {
@@ -226,7 +226,7 @@
 			From: self.ID, Incarnation: self.Incarnation, Slot: slot, Epoch: a.Epoch, Version: int64(a.Seq),
 		})
 		if err == nil && resp.GetConsented() {
-			i.slots.machine.Consented(a, slots.Member{ID: a.To.ID, Incarnation: resp.GetIncarnation()})
+			i.slots.machine.RecordConsent(a, slots.Member{ID: a.To.ID, Incarnation: resp.GetIncarnation()})
 		}
 		return
 	}
@@ -235,7 +235,7 @@
 	})
 	if err == nil && resp.GetPromised() {
 		valid := time.Duration(resp.GetValidMs()) * time.Millisecond
-		i.slots.machine.Promised(a, slots.Member{ID: a.To.ID, Incarnation: resp.GetIncarnation()}, valid)
+		i.slots.machine.RecordPromise(a, slots.Member{ID: a.To.ID, Incarnation: resp.GetIncarnation()}, valid)
 	}
 }
 
@@ -260,7 +260,7 @@
 
 // Promise implements peer.Quota.
 func (i *Instance) Promise(req *peerpb.PromiseRequest) *peerpb.PromiseResponse {
-	valid := i.slots.machine.OnPromise(i.slotIndex(req.GetSlot()), uint64(req.GetVersion()), time.Now())
+	valid := i.slots.machine.HandlePromiseRequest(i.slotIndex(req.GetSlot()), uint64(req.GetVersion()), time.Now())
 	return &peerpb.PromiseResponse{
 		Promised: valid > 0, Incarnation: i.slots.self.Incarnation, ValidMs: valid.Milliseconds(),
 	}
@@ -268,7 +268,7 @@
 
 // Consent implements peer.Quota.
 func (i *Instance) Consent(req *peerpb.ConsentRequest) *peerpb.ConsentResponse {
-	pause, ok := i.slots.machine.OnConsent(i.slotIndex(req.GetSlot()), uint64(req.GetVersion()), time.Now())
+	pause, ok := i.slots.machine.HandleConsentRequest(i.slotIndex(req.GetSlot()), uint64(req.GetVersion()), time.Now())
 	return &peerpb.ConsentResponse{
 		Consented: ok, Incarnation: i.slots.self.Incarnation, WaitMs: pause.Milliseconds(),
 	}
--- a/transport/dispatch/admit.go
+++ b/transport/dispatch/admit.go
@@ -98,12 +98,12 @@
 func (a *Admission) ApplyReport(e *servers.Entry, s *service.Service, now time.Time) {
 	load := &e.View().Load
 	a.limit(e, s, func(l *admission.Limiter, _ int) {
-		l.Reported(admission.Report{BootID: load.BootID, Running: load.Running, Waiting: load.Waiting, InBulk: e.Bulk()}, now)
+		l.ApplyReport(admission.LoadReport{BootID: load.BootID, Running: load.Running, Waiting: load.Waiting, BulkInFlight: e.Bulk()}, now)
 	})
 }
 
-func (a *Admission) answered(e *servers.Entry, s *service.Service, answer admission.Answer, now time.Time) {
-	a.limit(e, s, func(l *admission.Limiter, ceiling int) { l.Answered(answer, ceiling, now) })
+func (a *Admission) answered(e *servers.Entry, s *service.Service, answer admission.Sample, now time.Time) {
+	a.limit(e, s, func(l *admission.Limiter, ceiling int) { l.AddSample(answer, ceiling, now) })
 }
 
 // acquire waits for a slot. The slot has to be given back with release.
@@ -112,12 +112,12 @@
 	q := a.queue(s)
 	a.refresh(s, q, now)
 	settled := make(chan struct{})
-	t := q.Submit(admission.Item{
+	t := q.Submit(admission.Request{
 		Account: w.Account, Weight: weight, Class: w.Class, Cost: w.Cost(s),
-		Start:    earlier(now.Add(w.MaxWait), w.Deadline),
+		StartBy:  earlier(now.Add(w.MaxWait), w.Deadline),
 		OnSettle: func(*admission.Ticket) { close(settled) },
 	}, now)
-	if gone := await(ctx, settled, t.Start); gone && q.Leave(t, time.Now()) {
+	if gone := await(ctx, settled, t.StartBy); gone && q.Cancel(t, time.Now()) {
 		return nil, left(ctx, t)
 	}
 	if !t.Granted() {
--- a/transport/dispatch/front.go
+++ b/transport/dispatch/front.go
@@ -99,7 +99,7 @@
 }
 
 func (f *Front) attempts(ctx context.Context, svc *service.Service, w *Work, u *usage) error {
-	f.Retries.Request(svc)
+	f.Retries.RecordRequest(svc)
 	rng := newRand()
 	request := f.request(svc, w)
 	run := refusal.NotRun
--- a/transport/dispatch/local.go
+++ b/transport/dispatch/local.go
@@ -265,8 +265,8 @@
 // and more before a server with room for all of them.
 func (l *LocalDispatcher) sample(p *placed, m *measured, bulk bool) {
 	now := time.Now()
-	l.Admission.answered(p.entry, p.service, admission.Answer{
-		Bulk: bulk, Latency: m.latency, Expected: m.alone, InFlight: p.entry.InFlight(), InBulk: p.entry.Bulk(),
+	l.Admission.answered(p.entry, p.service, admission.Sample{
+		Bulk: bulk, Latency: m.latency, Expected: m.alone, InFlight: p.entry.InFlight(), BulkInFlight: p.entry.Bulk(),
 	}, now)
 	l.Admission.Refresh(p.service, now)
 }
@@ -285,7 +285,7 @@
 		duration := now.Sub(m.sent)
 		routing.Answered(p.entry, m.latency, m.expected, duration)
 	case ctx.Err() == nil && refusal.From(err).Code == refusal.CodeBackendFailed:
-		l.Admission.answered(p.entry, p.service, admission.Answer{Failed: true}, now)
+		l.Admission.answered(p.entry, p.service, admission.Sample{Failed: true}, now)
 		routing.Failed(l.Servers, p.entry, now)
 		w.tried = append(w.tried, p.server.ID)
 	}
--- a/transport/httproute/front.go
+++ b/transport/httproute/front.go
@@ -275,7 +275,7 @@
 	if refused != nil {
 		return refused
 	}
-	f.Retries.Request(r.service, r.arrived)
+	f.Retries.RecordRequest(r.service, r.arrived)
 	f.awaitPlace(ctx, r)
 	refused = f.attemptAll(ctx, w, r)
 	if refused != nil && refused.run == notRun && charge.Tokens > 0 {
--- a/transport/lending/lending.go
+++ b/transport/lending/lending.go
@@ -87,7 +87,7 @@
 		l.borrow(ctx, found, &running, now)
 		select {
 		case <-ticker.C:
-		case <-l.Ledger.Wanted():
+		case <-l.Ledger.BorrowNeeded():
 		case <-ctx.Done():
 		}
 	}
@@ -126,7 +126,7 @@
 			defer l.set(c.Lender, false)
 			lent := l.call(ctx, found.addresses[c.Lender], c, borrowTimeout)
 			l.heard(c.Lender, lent != nil, time.Now())
-			l.Ledger.Answered(c, lent, time.Now())
+			l.Ledger.CompleteCall(c, lent, time.Now())
 		})
 	}
 }
@@ -187,7 +187,7 @@
 }
 
 // call returns nil when no answer came.
-func (l *Borrower) call(ctx context.Context, address string, c *quota.Call, timeout time.Duration) []quota.Lent {
+func (l *Borrower) call(ctx context.Context, address string, c *quota.Call, timeout time.Duration) []quota.LoanGrant {
 	client, err := l.Pool.Get(address)
 	if err != nil {
 		return nil // counts as no answer: the ledger asks another lender
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -33,12 +33,12 @@
 // EncodeBorrow returns the message of a call to a lender.
 func EncodeBorrow(from slots.Member, c *quota.Call) *peerpb.BorrowRequest {
 	req := &peerpb.BorrowRequest{From: from.ID, Incarnation: from.Incarnation, LenderIncarnation: c.Lender.Incarnation}
-	for _, w := range c.Wants {
+	for _, w := range c.Requests {
 		req.Wants = append(req.Wants, &peerpb.AccountTokens{Account: w.Account, Tokens: int64(w.Tokens)})
 	}
 	for _, r := range c.Reports {
 		req.Spent = append(req.Spent, &peerpb.AccountTokens{
-			Account: r.Account, Loan: r.Loan, Tokens: int64(r.Spent), Returned: int64(r.Returned), Refunded: int64(r.Refunded),
+			Account: r.Account, Loan: r.LoanID, Tokens: int64(r.Spent), Returned: int64(r.Returned), Refunded: int64(r.Refunded),
 		})
 	}
 	return req
@@ -46,18 +46,18 @@
 
 // DecodeBorrow returns what a borrower wants and reports. Reports for another
 // incarnation of the lender are left out: its loans are gone.
-func DecodeBorrow(self slots.Member, req *peerpb.BorrowRequest) ([]quota.Want, []quota.Report) {
-	var wants []quota.Want
+func DecodeBorrow(self slots.Member, req *peerpb.BorrowRequest) ([]quota.LoanRequest, []quota.LoanReport) {
+	var wants []quota.LoanRequest
 	for _, w := range req.GetWants() {
-		wants = append(wants, quota.Want{Account: w.GetAccount(), Tokens: float64(w.GetTokens())})
+		wants = append(wants, quota.LoanRequest{Account: w.GetAccount(), Tokens: float64(w.GetTokens())})
 	}
 	if req.GetLenderIncarnation() != self.Incarnation {
 		return wants, nil
 	}
-	var reports []quota.Report
+	var reports []quota.LoanReport
 	for _, r := range req.GetSpent() {
-		reports = append(reports, quota.Report{
-			Account: r.GetAccount(), Loan: r.GetLoan(), Spent: float64(max(0, r.GetTokens())),
+		reports = append(reports, quota.LoanReport{
+			Account: r.GetAccount(), LoanID: r.GetLoan(), Spent: float64(max(0, r.GetTokens())),
 			Returned: float64(max(0, r.GetReturned())), Refunded: float64(max(0, r.GetRefunded())),
 		})
 	}
@@ -65,11 +65,11 @@
 }
 
 // EncodeLent returns a lender's answer.
-func EncodeLent(self slots.Member, lent []quota.Lent) *peerpb.BorrowResponse {
-	resp := &peerpb.BorrowResponse{Incarnation: self.Incarnation, ValidMs: quota.LoanValid.Milliseconds()}
+func EncodeLent(self slots.Member, lent []quota.LoanGrant) *peerpb.BorrowResponse {
+	resp := &peerpb.BorrowResponse{Incarnation: self.Incarnation, ValidMs: quota.LoanValidity.Milliseconds()}
 	for _, item := range lent {
 		if item.Tokens > 0 {
-			resp.Lent = append(resp.Lent, &peerpb.AccountTokens{Account: item.Account, Tokens: int64(item.Tokens), Loan: item.Loan})
+			resp.Lent = append(resp.Lent, &peerpb.AccountTokens{Account: item.Account, Tokens: int64(item.Tokens), Loan: item.LoanID})
 		}
 	}
 	return resp
@@ -77,13 +77,13 @@
 
 // DecodeLent returns what was lent; not nil, unless the lender has restarted since the
 // call was planned, or goes by another validity: then it lends nothing.
-func DecodeLent(c *quota.Call, resp *peerpb.BorrowResponse) []quota.Lent {
-	if resp.GetIncarnation() != c.Lender.Incarnation || resp.GetValidMs() < quota.LoanValid.Milliseconds() {
+func DecodeLent(c *quota.Call, resp *peerpb.BorrowResponse) []quota.LoanGrant {
+	if resp.GetIncarnation() != c.Lender.Incarnation || resp.GetValidMs() < quota.LoanValidity.Milliseconds() {
 		return nil
 	}
-	lent := make([]quota.Lent, 0, len(resp.GetLent()))
+	lent := make([]quota.LoanGrant, 0, len(resp.GetLent()))
 	for _, item := range resp.GetLent() {
-		lent = append(lent, quota.Lent{Account: item.GetAccount(), Tokens: float64(item.GetTokens()), Loan: item.GetLoan()})
+		lent = append(lent, quota.LoanGrant{Account: item.GetAccount(), Tokens: float64(item.GetTokens()), LoanID: item.GetLoan()})
 	}
 	return lent
 }
--- a/transport/peer/size_test.go
+++ b/transport/peer/size_test.go
@@ -17,12 +17,12 @@
 	from := slots.Member{ID: "suva-a-1-entry-17", Incarnation: 1764720000000000000}
 	for _, n := range []int{1, 10, 50, 200} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			call, lent := &quota.Call{Lender: from}, make([]quota.Lent, n)
+			call, lent := &quota.Call{Lender: from}, make([]quota.LoanGrant, n)
 			for i := range n {
 				account := fmt.Sprintf("account-%05d", i)
-				call.Wants = append(call.Wants, quota.Want{Account: account, Tokens: 1500})
-				call.Reports = append(call.Reports, quota.Report{Account: account, Loan: uint64(100000 + i), Spent: 900, Refunded: 300})
-				lent[i] = quota.Lent{Account: account, Tokens: 1500, Loan: uint64(100000 + i)}
+				call.Requests = append(call.Requests, quota.LoanRequest{Account: account, Tokens: 1500})
+				call.Reports = append(call.Reports, quota.LoanReport{Account: account, LoanID: uint64(100000 + i), Spent: 900, Refunded: 300})
+				lent[i] = quota.LoanGrant{Account: account, Tokens: 1500, LoanID: uint64(100000 + i)}
 			}
 			size := 0
 			for b.Loop() {
