--- a/cmd/basilroute/demo.go
+++ b/cmd/basilroute/demo.go
@@ -125,7 +125,7 @@
 	d.url, d.admin = "http://"+callers, "http://"+operators
 	start := time.Now()
 	err := d.fleet.Await(ctx, func(i *instance.Instance) bool {
-		return i.Ready() && i.Serves("notice-writer") && i.Serves("recall-ledger") && i.Affords("suva-grocers", demoCost)
+		return i.Ready() && i.Serves("notice-writer") && i.Serves("recall-ledger") && i.CanCharge("suva-grocers", demoCost)
 	})
 	d.note("instances ready in three regions", fmt.Sprintf("%d, after %s", len(d.fleet.Instances), time.Since(start).Round(time.Millisecond)))
 	return err
--- a/e2e/inprocess/fleet_test.go
+++ b/e2e/inprocess/fleet_test.go
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), awaitLimit)
 	defer cancel()
 	err = f.Await(ctx, func(i *instance.Instance) bool {
-		return i.Ready() && len(i.Status().Instances) == 4 && i.Serves(modelService) && i.Serves(plainService) && i.Affords("lacquer", 10000)
+		return i.Ready() && len(i.Status().Instances) == 4 && i.Serves(modelService) && i.Serves(plainService) && i.CanCharge("lacquer", 10000)
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/instance/quota.go
+++ b/instance/quota.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Affords tells whether the account could be charged some tokens here, after a
+// CanCharge tells whether the account could be charged some tokens here, after a
 // short wait for a loan.
-func (i *Instance) Affords(account string, tokens float64) bool {
+func (i *Instance) CanCharge(account string, tokens float64) bool {
 	charge, ok := i.ledger.Admit(account, tokens, time.Now())
 	if !ok {
 		verdict := <-i.ledger.Wait(account, tokens, affordWait, time.Now()).Done
@@ -104,5 +104,5 @@
 	return ok
 }
 
-// Minting returns how many slots this instance mints for.
-func (i *Instance) Minting() int { return i.ledger.MintingSlots(time.Now()) }
+// MintingSlots returns how many slots this instance mints for.
+func (i *Instance) MintingSlots() int { return i.ledger.MintingSlots(time.Now()) }
--- a/instance/routed/bulkfleet_test.go
+++ b/instance/routed/bulkfleet_test.go
@@ -135,7 +135,7 @@
 	store    *bulkStore
 	network  *link.Network
 	seeds    []membership.Seed
-	nodes    []*Node
+	nodes    []*Instance
 	links    []*link.Machine
 	domains  []string          // in which instances stand in turn
 	regions  map[string]string // region of each failure domain
@@ -189,7 +189,7 @@
 }
 
 // add starts an instance that exchanges with the others and does not follow the store yet.
-func (f *bulkFleet) add(rate float64) *Node {
+func (f *bulkFleet) add(rate float64) *Instance {
 	id := fmt.Sprint("front-", len(f.nodes))
 	machine := f.network.Add(id, rate)
 	settings := DefaultSettings()
--- a/instance/routed/cold_test.go
+++ b/instance/routed/cold_test.go
@@ -9,7 +9,7 @@
 // Guards against a restarted region whose instances all send to the same cold server and crash it.
 func TestStartingInstanceOwnsNoColdServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &Node{settings: Settings{ID: "front-1"}, started: time.Now()}
+		n := &Instance{settings: Settings{ID: "front-1"}, started: time.Now()}
 		n.regional.Store(&[]string{"front-1"})
 		if n.ownsCold("s1") {
 			t.Error("owns a cold server before it has heard of anybody")
@@ -20,7 +20,7 @@
 		}
 		owners := 0
 		for _, id := range []string{"front-1", "front-2", "front-3"} {
-			n := &Node{settings: Settings{ID: id}, started: time.Now().Add(-startTime)}
+			n := &Instance{settings: Settings{ID: id}, started: time.Now().Add(-startTime)}
 			n.regional.Store(&[]string{"front-1", "front-2", "front-3"})
 			if n.ownsCold("s1") {
 				owners++
--- a/instance/routed/copies.go
+++ b/instance/routed/copies.go
@@ -37,7 +37,7 @@
 // knowledge says up to which revision each prefix is known here. It goes with every
 // exchange: a watcher that is cut off from the store learns of it seconds later, and its
 // followers, who hear nothing in the meantime, would go by what has been replaced.
-func (n *Node) knowledge() []*peerpb.StoreView {
+func (n *Instance) knowledge() []*peerpb.StoreView {
 	out := make([]*peerpb.StoreView, len(n.followers))
 	for i, f := range n.followers {
 		out[i] = &peerpb.StoreView{Prefix: f.prefix, Revision: f.mirror.Revision()}
@@ -46,7 +46,7 @@
 }
 
 // lacking returns what a peer lacks.
-func (n *Node) lacking(asked []*peerpb.StoreView) []*peerpb.StoreView {
+func (n *Instance) lacking(asked []*peerpb.StoreView) []*peerpb.StoreView {
 	var out []*peerpb.StoreView
 	for _, view := range asked {
 		for _, f := range n.followers {
@@ -67,7 +67,7 @@
 }
 
 // offered is lacking for an exchange: of what is too large for it only the revision goes.
-func (n *Node) offered(asked []*peerpb.StoreView) []*peerpb.StoreView {
+func (n *Instance) offered(asked []*peerpb.StoreView) []*peerpb.StoreView {
 	views := n.lacking(asked)
 	for i, view := range views {
 		if valueBytes(view) > exchangeItems {
@@ -97,7 +97,7 @@
 }
 
 // takeViews takes in what a peer knows beyond this instance.
-func (n *Node) takeViews(views []*peerpb.StoreView, from origin) {
+func (n *Instance) takeViews(views []*peerpb.StoreView, from origin) {
 	for _, view := range views {
 		d := mirror.Delta{After: view.GetAfter(), Revision: view.GetRevision(), Full: view.GetWhole()}
 		for _, item := range view.GetItems() {
@@ -114,7 +114,7 @@
 }
 
 // behind tells whether a peer knows more than this instance.
-func (n *Node) behind(views []*peerpb.StoreView) bool {
+func (n *Instance) behind(views []*peerpb.StoreView) bool {
 	for _, view := range views {
 		for _, f := range n.followers {
 			if f.prefix == view.GetPrefix() && f.mirror.Revision() < view.GetRevision() {
@@ -151,7 +151,7 @@
 }
 
 // sendUpdate sends views to a follower, in parts if they are large and the follower takes parts.
-func (n *Node) sendUpdate(stream grpc.ServerStreamingServer[peerpb.FollowUpdate], views []*peerpb.StoreView, parts bool) error {
+func (n *Instance) sendUpdate(stream grpc.ServerStreamingServer[peerpb.FollowUpdate], views []*peerpb.StoreView, parts bool) error {
 	update := &peerpb.FollowUpdate{Views: views}
 	if !parts || proto.Size(update) <= peer.PartBytes {
 		return stream.Send(update)
@@ -165,7 +165,7 @@
 }
 
 // sendOnce sends what a peer lacks to a few at a time.
-func (n *Node) sendOnce(stream grpc.ServerStreamingServer[peerpb.FollowUpdate], known []*peerpb.StoreView) error {
+func (n *Instance) sendOnce(stream grpc.ServerStreamingServer[peerpb.FollowUpdate], known []*peerpb.StoreView) error {
 	if n.catchUps.Add(1) > catchUpServes {
 		n.catchUps.Add(-1)
 		return status.Error(codes.ResourceExhausted, "others are catching up from this instance")
@@ -177,7 +177,7 @@
 // receive takes in a peer's updates until more says that it is enough after a message,
 // which returns nil. It ends with an error when the stream does, or when nothing
 // comes for followSilence.
-func (n *Node) receive(ctx context.Context, client peerpb.PeerClient, req *peerpb.FollowRequest, from origin, more func() bool) error {
+func (n *Instance) receive(ctx context.Context, client peerpb.PeerClient, req *peerpb.FollowRequest, from origin, more func() bool) error {
 	ctx, giveUp := context.WithCancel(ctx)
 	defer giveUp()
 	silence := time.AfterFunc(followSilence, giveUp)
@@ -209,7 +209,7 @@
 }
 
 // noteReceiving keeps count of the streams on which parts of an update are still to come.
-func (n *Node) noteReceiving(partial *bool, now bool) {
+func (n *Instance) noteReceiving(partial *bool, now bool) {
 	switch {
 	case now && !*partial:
 		n.receiving.Add(1)
@@ -221,7 +221,7 @@
 
 // catchUp fetches from a peer what an exchange with it has only named, unless it comes
 // on another way meanwhile.
-func (n *Node) catchUp(client peerpb.PeerClient, peerID string, named []*peerpb.StoreView) {
+func (n *Instance) catchUp(client peerpb.PeerClient, peerID string, named []*peerpb.StoreView) {
 	if !n.behind(named) || !n.catching.CompareAndSwap(false, true) {
 		return
 	}
--- a/instance/routed/facts.go
+++ b/instance/routed/facts.go
@@ -14,7 +14,7 @@
 
 // configChanged takes in the operators' items. Changes are applied in the order of
 // the store's revisions; the table keeps out what is older than what is in force.
-func (n *Node) configChanged(changed []mirror.Item) {
+func (n *Instance) configChanged(changed []mirror.Item) {
 	evacuations := false
 	for _, item := range changed {
 		if _, ok := n.source.Evacuation(item.Key); ok {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (n *Node) offer(item mirror.Item) {
+func (n *Instance) offer(item mirror.Item) {
 	config, ok, err := n.source.Config(item.Key, item.Value)
 	if err != nil {
 		n.unreadable.Inc()
@@ -48,7 +48,7 @@
 }
 
 // evacuate takes in which failure domains are to get nothing.
-func (n *Node) evacuate() {
+func (n *Instance) evacuate() {
 	var domains []string
 	for _, item := range n.config.mirror.Items() {
 		if domain, ok := n.source.Evacuation(item.Key); ok {
@@ -61,7 +61,7 @@
 	n.refreshPools(now)
 }
 
-func (n *Node) longestColdStart() time.Duration {
+func (n *Instance) longestColdStart() time.Duration {
 	longest := time.Duration(0)
 	if config := n.routes.Current(); config != nil {
 		for _, s := range config.Services {
@@ -73,7 +73,7 @@
 
 // serversChanged takes in the entries of backend servers. One that cannot be read
 // names no server.
-func (n *Node) serversChanged(changed []mirror.Item) {
+func (n *Instance) serversChanged(changed []mirror.Item) {
 	now := time.Now()
 	for _, item := range changed {
 		if item.Removed {
@@ -97,7 +97,7 @@
 }
 
 // refreshPools hands the servers of the own region to the pools.
-func (n *Node) refreshPools(now time.Time) {
+func (n *Instance) refreshPools(now time.Time) {
 	config := n.routes.Current()
 	if config == nil {
 		return
@@ -141,7 +141,7 @@
 // without a word between them, and two that do not see each other stay below the
 // bound, which is more than twice the rate. One that has just started sees only itself:
 // when a whole region starts each of its instances would send, and the server would crash.
-func (n *Node) ownsCold(server string) bool {
+func (n *Instance) ownsCold(server string) bool {
 	if n.uptime() < startTime {
 		return false
 	}
@@ -153,7 +153,7 @@
 }
 
 // updateAccounts hands the accounts and the instances that share them to the ledger.
-func (n *Node) updateAccounts(config *routes.Config) {
+func (n *Instance) updateAccounts(config *routes.Config) {
 	n.ledgerMu.Lock()
 	defer n.ledgerMu.Unlock()
 	holders := n.shares.Holders()
@@ -175,7 +175,7 @@
 }
 
 // publishLoads tells the other instances how the services stand here.
-func (n *Node) publishLoads(now time.Time) {
+func (n *Instance) publishLoads(now time.Time) {
 	config := n.routes.Current()
 	if config == nil {
 		return
@@ -197,7 +197,7 @@
 }
 
 // digest sums up what the other instances of the region are to know of the load.
-func (n *Node) digest() placement.Digest {
+func (n *Instance) digest() placement.Digest {
 	var all placement.Digest
 	if config := n.routes.Current(); config != nil {
 		for name := range config.Services {
@@ -210,7 +210,7 @@
 }
 
 // absorb takes in another instance's word. Each pool takes what it knows the servers of.
-func (n *Node) absorb(from string, d *placement.Digest, now time.Time) {
+func (n *Instance) absorb(from string, d *placement.Digest, now time.Time) {
 	if config := n.routes.Current(); config != nil {
 		for name := range config.Services {
 			n.local.Pool(name).Absorb(from, d, now)
--- a/instance/routed/features_test.go
+++ b/instance/routed/features_test.go
@@ -17,11 +17,11 @@
 	others := []loadhub.Peer{{ID: "front-2", Address: netip.MustParseAddrPort("192.0.2.2:4")}}
 	for _, c := range []struct {
 		feature features.Name
-		atWork  func(n *Node) bool
+		atWork  func(n *Instance) bool
 	}{
-		{features.LoadReports, func(n *Node) bool { return len(n.castPeers(others)) > 0 }},
-		{features.StartupWait, func(n *Node) bool { return n.mayWait() }},
-		{features.ConfirmLoans, func(n *Node) bool { // goes on asking until the caller gives up
+		{features.LoadReports, func(n *Instance) bool { return len(n.castPeers(others)) > 0 }},
+		{features.StartupWait, func(n *Instance) bool { return n.mayWait() }},
+		{features.ConfirmLoans, func(n *Instance) bool { // goes on asking until the caller gives up
 			const patience = time.Second
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
@@ -32,8 +32,8 @@
 	} {
 		t.Run(string(c.feature), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				instance := func(on bool) *Node {
-					return &Node{
+				instance := func(on bool) *Instance {
+					return &Instance{
 						settings: Settings{ID: "front-1"}, started: time.Now(), shares: quotashare.NewHolderSet("front-1", 1),
 						features: features.NewSet(map[features.Name]bool{c.feature: on}),
 					}
--- a/instance/routed/fleetload_bench_test.go
+++ b/instance/routed/fleetload_bench_test.go
@@ -99,7 +99,7 @@
 type admissions struct{ asked, refused, waited atomic.Int64 }
 
 // offer asks an instance for tokens as its callers do, until ctx ends.
-func (a *admissions) offer(ctx context.Context, n *Node, rng *rand.Rand, rate float64) {
+func (a *admissions) offer(ctx context.Context, n *Instance, rng *rand.Rand, rate float64) {
 	weights := loadWeights()
 	var waiting sync.WaitGroup
 	defer waiting.Wait()
--- a/instance/routed/follow.go
+++ b/instance/routed/follow.go
@@ -41,7 +41,7 @@
 }
 
 // follow lists the prefix and watches it until ctx ends.
-func (n *Node) follow(ctx context.Context, f *follower) {
+func (n *Instance) follow(ctx context.Context, f *follower) {
 	backoff := minBackoff
 	listed := false
 	for ctx.Err() == nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (n *Node) read(ctx context.Context, f *follower, listed bool) (mirror.Delta, error) {
+func (n *Instance) read(ctx context.Context, f *follower, listed bool) (mirror.Delta, error) {
 	store := n.source.Store()
 	after := f.mirror.Revision()
 	if !listed || after == 0 {
@@ -87,7 +87,7 @@
 	return out
 }
 
-func (n *Node) apply(f *follower, d mirror.Delta, from origin) {
+func (n *Instance) apply(f *follower, d mirror.Delta, from origin) {
 	changed := f.mirror.Apply(d)
 	n.copies.arrived(f.prefix, from, d, changed)
 	if len(changed) == 0 {
@@ -101,7 +101,7 @@
 	n.announce()
 }
 
-func (n *Node) storeAnswered(f *follower) {
+func (n *Instance) storeAnswered(f *follower) {
 	since := f.failing.Swap(0)
 	if since == 0 {
 		return
@@ -112,7 +112,7 @@
 	}
 }
 
-func (n *Node) storeFailed(f *follower, err error) {
+func (n *Instance) storeFailed(f *follower, err error) {
 	n.copies.fail(wayStore)
 	now := time.Now()
 	if f.failing.CompareAndSwap(0, int64(n.uptime())) {
@@ -130,7 +130,7 @@
 }
 
 // storeAway tells whether any part of the store is out of reach.
-func (n *Node) storeAway() bool {
+func (n *Instance) storeAway() bool {
 	for _, f := range n.followers {
 		if f.away(n.uptime()) || f.mirror.Revision() == 0 {
 			return true
@@ -143,12 +143,12 @@
 const startTime = 2 * time.Second
 
 // mayWait tells whether requests may wait for what this instance still has to learn.
-func (n *Node) mayWait() bool {
+func (n *Instance) mayWait() bool {
 	return n.uptime() < startTime && n.features.On(features.StartupWait)
 }
 
 // uptime is by the steady clock: the time of day may jump.
-func (n *Node) uptime() time.Duration { return time.Since(n.started) }
+func (n *Instance) uptime() time.Duration { return time.Since(n.started) }
 
 // pause waits, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
--- a/instance/routed/join.go
+++ b/instance/routed/join.go
@@ -30,7 +30,7 @@
 
 // join writes this instance's item and reads all others', and writes once more when
 // the instance has begun to mint.
-func (n *Node) join(ctx context.Context) {
+func (n *Instance) join(ctx context.Context) {
 	minted := false
 	n.until(ctx, func() (err error) {
 		minted, err = n.enter(ctx)
@@ -46,7 +46,7 @@
 }
 
 // until tries until it succeeds or ctx ends.
-func (n *Node) until(ctx context.Context, try func() error) {
+func (n *Instance) until(ctx context.Context, try func() error) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		err := try()
@@ -63,7 +63,7 @@
 // has minted before. One that the store knows from an earlier lifetime needs a single
 // call: its item stood there before it read the others', and until then every account is
 // refused here.
-func (n *Node) enter(ctx context.Context) (minted bool, err error) {
+func (n *Instance) enter(ctx context.Context) (minted bool, err error) {
 	found, err := n.listMembers(ctx)
 	if err != nil {
 		return false, err
@@ -98,7 +98,7 @@
 }
 
 // listMembers reads the items of all instances, by id.
-func (n *Node) listMembers(ctx context.Context) (map[string]memberItem, error) {
+func (n *Instance) listMembers(ctx context.Context) (map[string]memberItem, error) {
 	items, _, err := n.source.Store().List(ctx, membersPrefix, 0)
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	return found, nil
 }
 
-func (n *Node) decodeMember(key string, value []byte) (memberItem, bool) {
+func (n *Instance) decodeMember(key string, value []byte) (memberItem, bool) {
 	var m memberItem
 	if len(value) == 0 {
 		return m, false
@@ -124,7 +124,7 @@
 	return m, true
 }
 
-func (n *Node) putMember(ctx context.Context, minted bool) error {
+func (n *Instance) putMember(ctx context.Context, minted bool) error {
 	value, err := json.Marshal(memberItem{
 		ID: n.settings.ID, Region: n.settings.Region, Domain: n.settings.Domain, Peer: n.settings.Listen.Peers, Minted: minted,
 	})
@@ -136,7 +136,7 @@
 }
 
 // quotasChanged hands a changed set of instances to the ledger.
-func (n *Node) quotasChanged() {
+func (n *Instance) quotasChanged() {
 	if config := n.routes.Current(); config != nil {
 		n.updateAccounts(config)
 	}
@@ -147,7 +147,7 @@
 const reseedEvery = 5 * time.Second
 
 // reseed reads the members again while this instance is alone.
-func (n *Node) reseed(ctx context.Context) {
+func (n *Instance) reseed(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, reseedEvery)
 		if fleet, _ := n.reachable(); fleet > 1 || ctx.Err() != nil {
--- a/instance/routed/listen.go
+++ b/instance/routed/listen.go
@@ -11,7 +11,7 @@
 // listenConfig has short keep-alive probes: a caller behind a cut link never closes.
 var listenConfig = net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}}
 
-func (n *Node) bind(name, address string) (net.Listener, error) {
+func (n *Instance) bind(name, address string) (net.Listener, error) {
 	l, err := listenConfig.Listen(n.background, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen for %s", name)
@@ -28,7 +28,7 @@
 	maxHeaderBytes = 64 << 10
 )
 
-func (n *Node) listen(endpoints Endpoints) error {
+func (n *Instance) listen(endpoints Endpoints) error {
 	for _, l := range []struct {
 		name, address string
 		handler       http.Handler
@@ -57,7 +57,7 @@
 
 // listenMetrics serves metrics and the state dump where the settings name an address. Callers
 // are served without them too, so an address that is taken stops nothing.
-func (n *Node) listenMetrics() {
+func (n *Instance) listenMetrics() {
 	if n.settings.Listen.Metrics == "" {
 		return
 	}
@@ -70,13 +70,13 @@
 }
 
 // service runs one of the servers beside that of callers.
-func (n *Node) service(handler http.Handler, l net.Listener) {
+func (n *Instance) service(handler http.Handler, l net.Listener) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: n.callers.ErrorLog}
 	n.servicing = append(n.servicing, server)
 	n.goServe(server, l)
 }
 
-func (n *Node) goServe(server *http.Server, l net.Listener) {
+func (n *Instance) goServe(server *http.Server, l net.Listener) {
 	go func() {
 		if err := server.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
 			n.failed <- err
@@ -84,14 +84,14 @@
 	}()
 }
 
-func (n *Node) closeListeners() {
+func (n *Instance) closeListeners() {
 	for _, l := range n.listeners {
 		_ = l.Close() // the instance does not start
 	}
 }
 
 // counted keeps count of the requests in flight, for the planned stop.
-func (n *Node) counted(next http.Handler) http.Handler {
+func (n *Instance) counted(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.inFlight.Add(1)
 		defer n.inFlight.Add(-1)
--- a/instance/routed/loans.go
+++ b/instance/routed/loans.go
@@ -25,7 +25,7 @@
 )
 
 // askSilent asks all that share the quotas whether they hold loans of a predecessor.
-func (n *Node) askSilent(ctx context.Context) {
+func (n *Instance) askSilent(ctx context.Context) {
 	for ctx.Err() == nil && !n.shares.Cleared() && n.features.On(features.ConfirmLoans) {
 		silent := n.shares.Unconfirmed()
 		rand.Shuffle(len(silent), func(a, b int) { silent[a], silent[b] = silent[b], silent[a] })
@@ -40,7 +40,7 @@
 
 // askOwed asks one of them. An instance that cannot be reached may hold a loan: it is
 // asked again, until loans have expired.
-func (n *Node) askOwed(ctx context.Context, id, address string) {
+func (n *Instance) askOwed(ctx context.Context, id, address string) {
 	client, err := n.pool.Get(address)
 	if err != nil {
 		n.log.Error("peer_address", "address", address, "error", err.Error())
@@ -60,7 +60,7 @@
 
 // clearLoans lets this instance use its whole part when nothing that a predecessor lent
 // can be spent any more.
-func (n *Node) clearLoans(now time.Time) {
+func (n *Instance) clearLoans(now time.Time) {
 	if n.shares.TryClear(!now.Before(quota.LoanExpiry(n.started))) {
 		n.log.Info("quota_cleared", "after_ms", now.Sub(n.started).Milliseconds())
 	}
--- a/instance/routed/members.go
+++ b/instance/routed/members.go
@@ -29,7 +29,7 @@
 
 // exchange brings the own view and the peers' together, each second, at once after
 // news, and more often while the store is out of reach.
-func (n *Node) exchange(ctx context.Context) {
+func (n *Instance) exchange(ctx context.Context) {
 	last := time.Time{}
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -66,14 +66,14 @@
 }
 
 // spread starts a round at once.
-func (n *Node) spread() {
+func (n *Instance) spread() {
 	select {
 	case n.news <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) exchangeWith(ctx context.Context, address string) {
+func (n *Instance) exchangeWith(ctx context.Context, address string) {
 	client, err := n.pool.Get(address)
 	if err != nil {
 		n.log.Error("peer_address", "address", address, "error", err.Error())
@@ -97,7 +97,7 @@
 }
 
 // exchangeFailed gives up a connection that has gone silent.
-func (n *Node) exchangeFailed(address string, err error) {
+func (n *Instance) exchangeFailed(address string, err error) {
 	count, _ := n.failures.LoadOrStore(address, 0)
 	failed, _ := count.(int)
 	failed++
@@ -111,7 +111,7 @@
 	}
 }
 
-func (n *Node) takeResponse(ctx context.Context, client peerpb.PeerClient, asked *peerpb.ExchangeRequest, resp *peerpb.ExchangeResponse) {
+func (n *Instance) takeResponse(ctx context.Context, client peerpb.PeerClient, asked *peerpb.ExchangeRequest, resp *peerpb.ExchangeResponse) {
 	next := n.members.ApplyResponse(resp, time.Now())
 	n.takeViews(resp.GetStoreViews(), origin{way: wayExchange, peer: resp.GetFrom()})
 	n.catchUp(client, resp.GetFrom(), resp.GetStoreViews())
@@ -139,14 +139,14 @@
 
 // lookAtNews is lookAtMembers, unless nothing has changed since the last look. A large fleet's
 // exchanges mostly bring nothing.
-func (n *Node) lookAtNews(now time.Time) {
+func (n *Instance) lookAtNews(now time.Time) {
 	if n.looked.Load() != (looked{n.members.Changes(), n.shares.Hash()}) {
 		n.lookAtMembers(now)
 	}
 }
 
 // takeHolders takes in a peer's set of the instances among which quotas are divided.
-func (n *Node) takeHolders(resp *peerpb.ExchangeResponse) {
+func (n *Instance) takeHolders(resp *peerpb.ExchangeResponse) {
 	if len(resp.GetQuotaHolders()) == 0 {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // Exchange implements peer.Exchanger.
-func (n *Node) Exchange(req *peerpb.ExchangeRequest) *peerpb.ExchangeResponse {
+func (n *Instance) Exchange(req *peerpb.ExchangeRequest) *peerpb.ExchangeResponse {
 	now := time.Now()
 	resp := n.members.Respond(req, now)
 	if req.GetLentBefore() {
@@ -188,7 +188,7 @@
 }
 
 // lookAtMembers takes in what the members say of quota shares, and who lives.
-func (n *Node) lookAtMembers(now time.Time) {
+func (n *Instance) lookAtMembers(now time.Time) {
 	n.looked.Store(looked{n.members.Changes(), n.shares.Hash()})
 	var regional []string
 	var peers []loadhub.Peer
@@ -222,13 +222,13 @@
 
 // InstanceCounts implements httproute.Remotes. The fleet counts those too that cannot be
 // reached: they go on spending their part of what is shared.
-func (n *Node) InstanceCounts() (fleet, region int) {
+func (n *Instance) InstanceCounts() (fleet, region int) {
 	return int(max(n.fleetSize.Load(), 1)), max(len(*n.regional.Load()), 1)
 }
 
 // reachable returns how many instances of the fleet can be reached, this one included,
 // and how many of them are in the own region.
-func (n *Node) reachable() (fleet, region int) {
+func (n *Instance) reachable() (fleet, region int) {
 	return int(n.liveSize.Load()), len(*n.regional.Load())
 }
 
@@ -244,7 +244,7 @@
 }
 
 // castPeers returns with which of the region's other instances this one shares its load.
-func (n *Node) castPeers(others []loadhub.Peer) []loadhub.Peer {
+func (n *Instance) castPeers(others []loadhub.Peer) []loadhub.Peer {
 	if !n.features.On(features.LoadReports) {
 		return nil
 	}
--- a/instance/routed/metrics.go
+++ b/instance/routed/metrics.go
@@ -69,7 +69,7 @@
 }
 
 // registerVersions adds the series of what is in force here.
-func (n *Node) registerVersions() {
+func (n *Instance) registerVersions() {
 	const namespace = "basilroute"
 	n.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: namespace, Name: "config_version", Help: "Version of the configuration in force; 0 before the first one.",
--- a/instance/routed/metrics_test.go
+++ b/instance/routed/metrics_test.go
@@ -41,7 +41,7 @@
 	}
 	n, err := New(settings, emptySource{}, nil, Endpoints{
 		Ready:     func(func() bool) http.Handler { return http.NotFoundHandler() },
-		Directory: func(func(Question) Answer) http.Handler { return http.NotFoundHandler() },
+		Directory: func(func(DirectoryQuery) DirectoryAnswer) http.Handler { return http.NotFoundHandler() },
 	}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/instance/routed/node.go
+++ b/instance/routed/node.go
@@ -32,8 +32,8 @@
 	"github.com/basilroute/basilroute/transport/peer"
 )
 
-// Node is one entry instance that serves HTTP routes.
-type Node struct {
+// Instance is one entry instance that serves HTTP routes.
+type Instance struct {
 	settings Settings
 	source   Source
 	codec    httproute.Codec
@@ -101,7 +101,7 @@
 // directory, made from what the node answers.
 type Endpoints struct {
 	Ready     func(ready func() bool) http.Handler
-	Directory func(resolve func(Question) Answer) http.Handler
+	Directory func(resolve func(DirectoryQuery) DirectoryAnswer) http.Handler
 }
 
 const (
@@ -114,7 +114,7 @@
 )
 
 // New binds the addresses. It serves nothing before Start.
-func New(settings Settings, source Source, codec httproute.Codec, endpoints Endpoints, log *slog.Logger) (*Node, error) {
+func New(settings Settings, source Source, codec httproute.Codec, endpoints Endpoints, log *slog.Logger) (*Instance, error) {
 	n := newNode(settings, source, codec, log)
 	if err := n.listen(endpoints); err != nil {
 		n.closeListeners()
@@ -124,10 +124,10 @@
 }
 
 // newNode returns a node that has no addresses yet.
-func newNode(settings Settings, source Source, codec httproute.Codec, log *slog.Logger) *Node {
+func newNode(settings Settings, source Source, codec httproute.Codec, log *slog.Logger) *Instance {
 	started := time.Now()
 	set := features.NewSet(settings.Features)
-	n := &Node{
+	n := &Instance{
 		settings: settings, features: set, source: source, codec: codec, log: log.With("instance", settings.ID),
 		registry: prometheus.NewRegistry(), started: started,
 		routes: &routes.Table{}, backends: backends.New(), ledger: quota.New(settings.ID),
@@ -149,16 +149,16 @@
 	return n
 }
 
-func (n *Node) selfEntry() *peerpb.Member {
+func (n *Instance) selfEntry() *peerpb.Member {
 	return &peerpb.Member{
 		Id: n.settings.ID, Incarnation: uint64(n.started.UnixNano()), Version: 1,
 		State: peerpb.MemberState_MEMBER_STATE_LIVE, Region: n.settings.Region, Domain: n.settings.Domain,
 		CallerAddress: n.settings.Listen.Callers, PeerAddress: n.settings.Listen.Peers, RelayAddress: n.settings.Listen.Relay,
-		LinkMbps: uint32(n.settings.Link),
+		LinkMbps: uint32(n.settings.LinkMbps),
 	}
 }
 
-func (n *Node) staticSeeds() []membership.Seed {
+func (n *Instance) staticSeeds() []membership.Seed {
 	var out []membership.Seed
 	for _, address := range n.settings.Seeds {
 		if address != n.settings.Listen.Peers {
@@ -168,13 +168,13 @@
 	return out
 }
 
-func (n *Node) makeFollowers(source Source) {
+func (n *Instance) makeFollowers(source Source) {
 	n.config = &follower{prefix: source.ConfigPrefix(), mirror: mirror.New(), changed: n.configChanged}
 	n.servers = &follower{prefix: source.ServersPrefix(), mirror: mirror.New(), changed: n.serversChanged, settle: serversSettle}
 	n.followers = []*follower{n.config, n.servers}
 }
 
-func (n *Node) wire() {
+func (n *Instance) wire() {
 	n.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	n.unreadable = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "basilroute", Name: "unreadable_items_total", Help: "Items of the store that could not be read.",
@@ -201,7 +201,7 @@
 		ApplyDocuments: n.updateHeld,
 	}
 	n.caster = loadcast.New(n.settings.ID, n.members.Self().GetIncarnation(),
-		loadhub.New(n.settings.ID, n.settings.Domain, int(n.settings.Link)))
+		loadhub.New(n.settings.ID, n.settings.Domain, int(n.settings.LinkMbps)))
 	n.caster.LoadReport, n.caster.ApplyReport = n.digest, n.absorb
 	n.callers = &http.Server{
 		Handler: n.counted(n.front), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -213,7 +213,7 @@
 }
 
 // Start serves and runs the loops until Stop.
-func (n *Node) Start() {
+func (n *Instance) Start() {
 	n.goServe(n.callers, n.listeners["callers"])
 	go func() {
 		if err := n.peers.Serve(n.listeners["peers"]); err != nil {
@@ -228,7 +228,7 @@
 }
 
 // Failed delivers the error of a listener that ended unasked.
-func (n *Node) Failed() <-chan error { return n.failed }
+func (n *Instance) Failed() <-chan error { return n.failed }
 
 const (
 	housekeepEvery = 100 * time.Millisecond
@@ -236,7 +236,7 @@
 )
 
 // housekeep does what is due by the clock.
-func (n *Node) housekeep(ctx context.Context) {
+func (n *Instance) housekeep(ctx context.Context) {
 	ticker := time.NewTicker(housekeepEvery)
 	defer ticker.Stop()
 	swept, version := time.Time{}, uint64(0)
@@ -264,4 +264,4 @@
 }
 
 // Ready tells whether callers can be served: the configuration is known.
-func (n *Node) Ready() bool { return !n.leaving.Load() && n.routes.Current() != nil }
+func (n *Instance) Ready() bool { return !n.leaving.Load() && n.routes.Current() != nil }
--- a/instance/routed/quota.go
+++ b/instance/routed/quota.go
@@ -10,7 +10,7 @@
 )
 
 // member names this incarnation.
-func (n *Node) member() slots.Member {
+func (n *Instance) member() slots.Member {
 	self := n.members.Self()
 	return slots.Member{ID: self.GetId(), Incarnation: self.GetIncarnation()}
 }
@@ -19,7 +19,7 @@
 const forever = 365 * 24 * time.Hour
 
 // updateHeld tells the ledger whether this instance mints its part.
-func (n *Node) updateHeld(now time.Time) {
+func (n *Instance) updateHeld(now time.Time) {
 	var held []slots.HeldSlot
 	if n.shares.Mints() {
 		held = []slots.HeldSlot{{Slot: 0, Epoch: n.epoch(), Until: now.Add(forever)}}
@@ -39,7 +39,7 @@
 	epochOfNewcomer = 2 // others may have lent what is its part now
 )
 
-func (n *Node) epoch() uint64 {
+func (n *Instance) epoch() uint64 {
 	if n.shares.NoEarlierMint() {
 		return epochOfNewcomer
 	}
@@ -47,7 +47,7 @@
 }
 
 // lenders returns the reachable instances that mint, the nearest first.
-func (n *Node) lenders(now time.Time) []lending.Lender {
+func (n *Instance) lenders(now time.Time) []lending.Lender {
 	var out []lending.Lender
 	for _, m := range n.members.Members(now) {
 		if !m.Reachable || m.Entry.GetSlots() == 0 || m.Entry.GetId() == n.settings.ID {
@@ -70,18 +70,18 @@
 }
 
 // Borrow implements peer.Quota.
-func (n *Node) Borrow(req *peerpb.BorrowRequest) *peerpb.BorrowResponse {
+func (n *Instance) Borrow(req *peerpb.BorrowRequest) *peerpb.BorrowResponse {
 	self := n.member()
 	wants, reports := peer.DecodeBorrow(self, req)
 	return peer.EncodeLent(self, n.ledger.Lend(wants, reports, time.Now()))
 }
 
 // Promise implements peer.Quota: parts of the quota change no hands here.
-func (n *Node) Promise(*peerpb.PromiseRequest) *peerpb.PromiseResponse {
+func (n *Instance) Promise(*peerpb.PromiseRequest) *peerpb.PromiseResponse {
 	return &peerpb.PromiseResponse{}
 }
 
 // Consent implements peer.Quota, like Promise.
-func (n *Node) Consent(*peerpb.ConsentRequest) *peerpb.ConsentResponse {
+func (n *Instance) Consent(*peerpb.ConsentRequest) *peerpb.ConsentResponse {
 	return &peerpb.ConsentResponse{}
 }
--- a/instance/routed/quota_test.go
+++ b/instance/routed/quota_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func newQuotaNode() *Node {
+func newQuotaNode() *Instance {
 	settings := DefaultSettings()
 	settings.ID, settings.Domain = "front-0", "east-a"
 	return newNode(settings, bulkSource{client: &bulkClient{store: newBulkStore()}}, nil, slog.New(slog.DiscardHandler))
--- a/instance/routed/settings.go
+++ b/instance/routed/settings.go
@@ -19,18 +19,18 @@
 
 // Settings are read once at the start.
 type Settings struct {
-	ID      string            `yaml:"id"`
-	Region  string            `yaml:"region"`
-	Domain  string            `yaml:"domain"`
-	Domains map[string]string `yaml:"domains"` // region of each failure domain
-	Listen  Listen            `yaml:"listen"`
-	Seeds   []string          `yaml:"seeds"` // peer addresses to try besides the members in the store
-	Store   Store             `yaml:"store"`
-	Memory  int64             `yaml:"memory_mb"` // that the process may use, in MiB
-	Link    float64           `yaml:"link_mbps"` // rate of the machine's link; 0 when not known
-	Bounds  Bounds            `yaml:"bounds"`
-	Retry   Retry             `yaml:"retry"`
-	Log     Log               `yaml:"log"`
+	ID       string            `yaml:"id"`
+	Region   string            `yaml:"region"`
+	Domain   string            `yaml:"domain"`
+	Domains  map[string]string `yaml:"domains"` // region of each failure domain
+	Listen   Listen            `yaml:"listen"`
+	Seeds    []string          `yaml:"seeds"` // peer addresses to try besides the members in the store
+	Store    Store             `yaml:"store"`
+	MemoryMB int64             `yaml:"memory_mb"` // that the process may use, in MiB
+	LinkMbps float64           `yaml:"link_mbps"` // rate of the machine's link; 0 when not known
+	Bounds   Bounds            `yaml:"bounds"`
+	Retry    Retry             `yaml:"retry"`
+	Log      Log               `yaml:"log"`
 	// Features switches mechanisms of decision off by name; those that are not named are on.
 	Features map[features.Name]bool `yaml:"features"`
 }
@@ -49,7 +49,7 @@
 type Store struct {
 	Address     string        `yaml:"address"`
 	CallTimeout time.Duration `yaml:"call_timeout"` // without a byte of an answer, beside a watch's wait
-	LeastLease  time.Duration `yaml:"least_lease"`  // shortest lease that it grants
+	MinLease    time.Duration `yaml:"least_lease"`  // shortest lease that it grants
 }
 
 // Bounds are the times that the deployment sets.
@@ -74,11 +74,11 @@
 // DefaultSettings are the settings before the file is read.
 func DefaultSettings() Settings {
 	return Settings{
-		Store:  Store{CallTimeout: 1500 * time.Millisecond, LeastLease: time.Second},
-		Bounds: Bounds{Grace: 8 * time.Second, DirectoryTTL: 5 * time.Second, RegionDelay: 80 * time.Millisecond},
-		Retry:  Retry{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
-		Log:    Log{Level: "info"},
-		Memory: 256,
+		Store:    Store{CallTimeout: 1500 * time.Millisecond, MinLease: time.Second},
+		Bounds:   Bounds{Grace: 8 * time.Second, DirectoryTTL: 5 * time.Second, RegionDelay: 80 * time.Millisecond},
+		Retry:    Retry{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
+		Log:      Log{Level: "info"},
+		MemoryMB: 256,
 	}
 }
 
@@ -101,15 +101,15 @@
 		checkAddress(r, "seeds."+strconv.Itoa(n), address)
 	}
 	for path, d := range map[string]time.Duration{
-		"store.call_timeout": s.Store.CallTimeout, "store.least_lease": s.Store.LeastLease, "bounds.grace": s.Bounds.Grace,
+		"store.call_timeout": s.Store.CallTimeout, "store.least_lease": s.Store.MinLease, "bounds.grace": s.Bounds.Grace,
 		"bounds.directory_ttl": s.Bounds.DirectoryTTL, "retry.window": s.Retry.Window,
 	} {
 		if d <= 0 {
 			r.Addf(path, "want above 0, have %s", d)
 		}
 	}
-	if s.Link < 0 {
-		r.Addf("link_mbps", "want 0 or above, have %v", s.Link)
+	if s.LinkMbps < 0 {
+		r.Addf("link_mbps", "want 0 or above, have %v", s.LinkMbps)
 	}
 	if s.Retry.Ratio < 0 || s.Retry.Slack < 0 {
 		r.Addf("retry", "ratio and slack have to be 0 or above")
--- a/instance/routed/settings_test.go
+++ b/instance/routed/settings_test.go
@@ -30,7 +30,7 @@
 
 func TestSettings(t *testing.T) {
 	s, err := ParseSettings("x.yaml", []byte(goodSettings))
-	if err != nil || s.ID != "front-1" || s.Retry.Slack != 58 || s.Link != 10 || s.Store.CallTimeout == 0 {
+	if err != nil || s.ID != "front-1" || s.Retry.Slack != 58 || s.LinkMbps != 10 || s.Store.CallTimeout == 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
--- a/instance/routed/stop.go
+++ b/instance/routed/stop.go
@@ -27,7 +27,7 @@
 )
 
 // remaining is how long this instance still runs, once it leaves; 0 before.
-func (n *Node) remaining() time.Duration {
+func (n *Instance) remaining() time.Duration {
 	ends := n.endsAt.Load()
 	if ends == 0 {
 		return 0
@@ -36,7 +36,7 @@
 }
 
 // Stop is the planned stop. It returns an error when requests were cut.
-func (n *Node) Stop(ctx context.Context) error {
+func (n *Instance) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, n.settings.Bounds.Grace-endMargin)
 	defer cancel()
 	began := time.Now()
@@ -58,7 +58,7 @@
 }
 
 // Kill ends the instance at once.
-func (n *Node) Kill() {
+func (n *Instance) Kill() {
 	n.stopLoops()
 	_ = n.callers.Close() // the process ends
 	for _, s := range n.servicing {
@@ -72,7 +72,7 @@
 }
 
 // operatorHandler serves the metrics and the state dump.
-func (n *Node) operatorHandler() http.Handler {
+func (n *Instance) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
@@ -99,7 +99,7 @@
 }
 
 // Dump returns the state.
-func (n *Node) Dump() Dump {
+func (n *Instance) Dump() Dump {
 	now := time.Now()
 	d := Dump{
 		ID: n.settings.ID, Ready: n.Ready(), Revisions: make(map[string]int64), Members: make(map[string]string),
--- a/instance/routed/views.go
+++ b/instance/routed/views.go
@@ -18,7 +18,7 @@
 const lastKnownFor = 8 * time.Second
 
 // isolated tells whether this instance reaches none of those it heard just now.
-func (n *Node) isolated(now time.Time) bool {
+func (n *Instance) isolated(now time.Time) bool {
 	if fleet, _ := n.reachable(); fleet != 1 {
 		return false
 	}
@@ -41,7 +41,7 @@
 // Remotes implements httproute.Remotes: one reachable instance of each other region,
 // drawn at random so that the calls spread, with the latest word of any instance there:
 // each speaks for the servers of its whole region.
-func (n *Node) Remotes(service string) []httproute.Remote {
+func (n *Instance) Remotes(service string) []httproute.Remote {
 	byRegion := make(map[string][]membership.Member)
 	latest := make(map[string]membership.Member)
 	for _, m := range n.members.Members(time.Now()) {
@@ -82,9 +82,9 @@
 const avoidFor = 2 * time.Second
 
 // MarkUnreachable implements httproute.Remotes.
-func (n *Node) MarkUnreachable(instance string) { n.avoided.Store(instance, n.uptime()) }
+func (n *Instance) MarkUnreachable(instance string) { n.avoided.Store(instance, n.uptime()) }
 
-func (n *Node) unreachedJustNow(m membership.Member) bool {
+func (n *Instance) unreachedJustNow(m membership.Member) bool {
 	at, ok := n.avoided.Load(m.Entry.GetId())
 	if !ok {
 		return false
@@ -93,14 +93,14 @@
 	return n.uptime()-failed < avoidFor
 }
 
-// Question is what a caller asks the directory.
-type Question struct {
+// DirectoryQuery is what a caller asks the directory.
+type DirectoryQuery struct {
 	Host           string
 	Region, Domain string // the caller's; may be empty
 }
 
-// Answer is the directory's.
-type Answer struct {
+// DirectoryAnswer is the directory's.
+type DirectoryAnswer struct {
 	Addresses []string
 	TTL       time.Duration
 }
@@ -115,7 +115,7 @@
 // Resolve answers a caller that asks where to connect, see directory.Choose. An
 // instance that reaches no other one names the others, as it last knew them, and not
 // itself: callers may reach them, and it has only its own part of the quotas.
-func (n *Node) Resolve(q Question) Answer {
+func (n *Instance) Resolve(q DirectoryQuery) DirectoryAnswer {
 	region := q.Region
 	if region == "" {
 		region = n.settings.Region
@@ -140,5 +140,5 @@
 	}
 	named := directory.Choose(known, region, homes)
 	rand.Shuffle(len(named), func(a, b int) { named[a], named[b] = named[b], named[a] })
-	return Answer{Addresses: named[:min(len(named), maxNamed)], TTL: min(directoryTTL, n.settings.Bounds.DirectoryTTL)}
+	return DirectoryAnswer{Addresses: named[:min(len(named), maxNamed)], TTL: min(directoryTTL, n.settings.Bounds.DirectoryTTL)}
 }
--- a/instance/routed/watch.go
+++ b/instance/routed/watch.go
@@ -36,7 +36,7 @@
 )
 
 // followStore keeps the mirrors up to date, from the store or from a watcher.
-func (n *Node) followStore(ctx context.Context) {
+func (n *Instance) followStore(ctx context.Context) {
 	alone := time.Time{}               // until when the store is watched here in any case
 	lost := make(map[string]time.Time) // address of a watcher that failed, until when
 	for ctx.Err() == nil {
@@ -58,7 +58,7 @@
 }
 
 // watchers returns the watchers of the own region, by failure domain.
-func (n *Node) watchers(now time.Time) map[string][]string {
+func (n *Instance) watchers(now time.Time) map[string][]string {
 	candidates := make(map[string][]configwatch.Candidate)
 	for _, m := range n.members.Members(now) {
 		if m.Reachable && !m.Leaving() && m.Entry.GetRegion() == n.settings.Region {
@@ -72,7 +72,7 @@
 }
 
 // watches tells whether this instance is to watch the store itself.
-func (n *Node) watches(now time.Time) bool {
+func (n *Instance) watches(now time.Time) bool {
 	if n.routes.Current() == nil || n.servers.mirror.Revision() == 0 {
 		return true // nothing is known yet: the store is the fastest way
 	}
@@ -81,7 +81,7 @@
 
 // pickWatcher returns the address of a watcher to follow, one of the own failure domain
 // if any can be used, and empty when there is none.
-func (n *Node) pickWatcher(now time.Time, lost map[string]time.Time) string {
+func (n *Instance) pickWatcher(now time.Time, lost map[string]time.Time) string {
 	byDomain := n.watchers(now)
 	var near, far []string
 	for _, m := range n.members.Members(now) {
@@ -108,7 +108,7 @@
 
 // watchStore watches the store until this instance is to follow another one, but at
 // least until a time.
-func (n *Node) watchStore(ctx context.Context, least time.Time) {
+func (n *Instance) watchStore(ctx context.Context, least time.Time) {
 	ctx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	for _, f := range n.followers {
@@ -127,7 +127,7 @@
 
 // followPeer follows a watcher until this instance is to watch itself, which returns
 // true, or until the watcher fails it.
-func (n *Node) followPeer(ctx context.Context, address string) bool {
+func (n *Instance) followPeer(ctx context.Context, address string) bool {
 	client, err := n.pool.Get(address)
 	if err != nil {
 		n.log.Error("peer_address", "address", address, "error", err.Error())
@@ -154,7 +154,7 @@
 
 // Follow implements peer.Followed: it hands on what changes, and ends when this
 // instance is no longer up to date.
-func (n *Node) Follow(req *peerpb.FollowRequest, stream grpc.ServerStreamingServer[peerpb.FollowUpdate]) error {
+func (n *Instance) Follow(req *peerpb.FollowRequest, stream grpc.ServerStreamingServer[peerpb.FollowUpdate]) error {
 	known := req.GetKnown()
 	if req.GetOnce() {
 		return n.sendOnce(stream, known)
@@ -185,7 +185,7 @@
 }
 
 // announce wakes those who follow this instance.
-func (n *Node) announce() {
+func (n *Instance) announce() {
 	n.subscribers.Range(func(key, _ any) bool {
 		if c, ok := key.(chan struct{}); ok {
 			select {
--- a/instance/status.go
+++ b/instance/status.go
@@ -56,7 +56,7 @@
 	return Dump{
 		Status: i.Status(), Servers: i.servers.All(), InFlight: i.requests.Count(), Forwarded: i.forwarded.Count(),
 		Services: i.catalog.Services(), Accounts: len(i.catalog.Accounts()), Withdrawn: len(i.catalog.Withdrawn()),
-		Slots: i.slots.machine.Records(), Minting: i.Minting(),
+		Slots: i.slots.machine.Records(), Minting: i.MintingSlots(),
 	}
 }
 
--- a/localfleet/badinput_test.go
+++ b/localfleet/badinput_test.go
@@ -50,7 +50,7 @@
 		}
 	}
 	err = fleet.Await(ctx, func(i *instance.Instance) bool {
-		return i.Ready() && i.Serves("notice-writer") && i.Serves("recall-ledger") && i.Affords("suva-grocers", 200)
+		return i.Ready() && i.Serves("notice-writer") && i.Serves("recall-ledger") && i.CanCharge("suva-grocers", 200)
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/localfleet/poison_test.go
+++ b/localfleet/poison_test.go
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.Await(ctx, func(i *instance.Instance) bool { return i.Ready() && sees(i) && i.Affords("grocers", 100_000) }); err != nil {
+	if err := f.Await(ctx, func(i *instance.Instance) bool { return i.Ready() && sees(i) && i.CanCharge("grocers", 100_000) }); err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range f.Engines {
--- a/localfleet/quota_test.go
+++ b/localfleet/quota_test.go
@@ -44,7 +44,7 @@
 func (f *Fleet) minting() int {
 	total := 0
 	for _, i := range f.Instances {
-		total += i.Minting()
+		total += i.MintingSlots()
 	}
 	return total
 }
@@ -52,7 +52,7 @@
 func (f *Fleet) mostMinting() int {
 	most := 0
 	for _, i := range f.Instances {
-		most = max(most, i.Minting())
+		most = max(most, i.MintingSlots())
 	}
 	return most
 }
@@ -96,7 +96,7 @@
 		}
 	}
 	for id, i := range f.Instances {
-		if !i.Affords("grocers", 100) {
+		if !i.CanCharge("grocers", 100) {
 			t.Errorf("%s affords nothing", id)
 		}
 	}
--- a/localfleet/residency_test.go
+++ b/localfleet/residency_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	err = f.Await(ctx, func(i *instance.Instance) bool {
-		return i.Ready() && i.Serves("notice-writer") && i.Affords("free", 1000) && i.Affords("bound", 1000)
+		return i.Ready() && i.Serves("notice-writer") && i.CanCharge("free", 1000) && i.CanCharge("bound", 1000)
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/localfleet/stream_bench_test.go
+++ b/localfleet/stream_bench_test.go
@@ -96,7 +96,7 @@
 		}
 	}
 	err = fleet.Await(ctx, func(i *instance.Instance) bool {
-		return i.Ready() && i.Serves(benchModel) && i.Affords("bench", 1e8)
+		return i.Ready() && i.Serves(benchModel) && i.CanCharge("bench", 1e8)
 	})
 	if err != nil {
 		b.Fatal(err)
