--- a/coordination/loadhub/loadhub.go
+++ b/coordination/loadhub/loadhub.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// Every is the time between messages while something is under way: shorter than it
+	// ReportInterval is the time between messages while something is under way: shorter than it
 	// takes an engine to read one prompt of ordinary size.
-	Every = 60 * time.Millisecond
+	ReportInterval = 60 * time.Millisecond
 
 	// directPeers is the largest number of others that are all told.
 	directPeers = 16
@@ -51,8 +51,8 @@
 // Kinds of messages.
 const (
 	Direct    Kind = iota // the sender's own load, to every other instance of the region
-	Word                  // the sender's own load, to a hub that is to answer
-	Region                // the load of all others of the region, from a hub
+	HubReport             // the sender's own load, to a hub that is to answer
+	RegionSum             // the load of all others of the region, from a hub
 	DomainSum             // the load of the sender's failure domain, between hubs
 )
 
@@ -61,7 +61,7 @@
 	Kind   Kind
 	From   string
 	Domain string // the sender's
-	Digest placement.Digest
+	Report placement.LoadReport
 }
 
 // Envelope is a message with whom it goes to.
@@ -70,11 +70,11 @@
 	Message
 }
 
-// Heard is what an instance is to take in: the load of a source, which replaces what the
+// Update is what an instance is to take in: the load of a source, which replaces what the
 // source said before.
-type Heard struct {
+type Update struct {
 	Source string
-	Digest placement.Digest
+	Report placement.LoadReport
 }
 
 // regionSource names the sums of all others of the region.
@@ -135,7 +135,7 @@
 
 type domainSum struct {
 	source
-	digest  placement.Digest
+	digest  placement.LoadReport
 	unheard bool
 }
 
@@ -181,7 +181,7 @@
 func hubScore(id string) uint64 { return xxhash.Sum64String("load hub\x00" + id) }
 
 // Round returns what to send now and what to take in. own is the own load; rounds are Every apart.
-func (e *Exchange) Round(own placement.Digest, now time.Time) (out []Envelope, heard []Heard) {
+func (e *Exchange) Round(own placement.LoadReport, now time.Time) (out []Envelope, heard []Update) {
 	busy := len(own.Servers) > 0 || len(own.Dispatches) > 0
 	tell := busy || e.wasBusy // the last one says that nothing is left
 	e.wasBusy = busy
@@ -194,8 +194,8 @@
 	}
 	if tell || now.Sub(e.told) >= idleEvery {
 		e.told = now
-		out = e.send(out, Word, e.hubs, own, true)
-		out = e.send(out, Word, e.others, own, e.silent(e.answered, hubsLost, now))
+		out = e.send(out, HubReport, e.hubs, own, true)
+		out = e.send(out, HubReport, e.others, own, e.silent(e.answered, hubsLost, now))
 	}
 	out = e.send(out, Direct, e.peers, own, tell && e.silent(e.listened.at, e.patience(), now))
 	return e.asHub(out, own, now)
@@ -217,40 +217,40 @@
 // large tells whether the region is so large that not all others are told.
 func (e *Exchange) large() bool { return len(e.peers) > directPeers }
 
-func (e *Exchange) send(out []Envelope, kind Kind, to []netip.AddrPort, d placement.Digest, due bool) []Envelope {
+func (e *Exchange) send(out []Envelope, kind Kind, to []netip.AddrPort, d placement.LoadReport, due bool) []Envelope {
 	if !due || len(to) == 0 {
 		return out
 	}
 	return append(out, Envelope{to, e.message(kind, d)})
 }
 
-func (e *Exchange) message(kind Kind, d placement.Digest) Message {
-	return Message{Kind: kind, From: e.self.ID, Domain: e.self.Domain, Digest: d}
+func (e *Exchange) message(kind Kind, d placement.LoadReport) Message {
+	return Message{Kind: kind, From: e.self.ID, Domain: e.self.Domain, Report: d}
 }
 
-// Hear takes in a message, and returns what to take in of it at once.
-func (e *Exchange) Hear(m Message, from netip.AddrPort, now time.Time) (Heard, bool) {
+// Receive takes in a message, and returns what to take in of it at once.
+func (e *Exchange) Receive(m Message, from netip.AddrPort, now time.Time) (Update, bool) {
 	switch m.Kind {
-	case Region:
+	case RegionSum:
 		if e.isHub || !e.listens(&m, now) {
-			return Heard{}, false
+			return Update{}, false
 		}
-		return Heard{regionSource, m.Digest}, true
-	case Word:
+		return Update{regionSource, m.Report}, true
+	case HubReport:
 		e.hearWord(m, from, true, now)
-		return Heard{}, false
+		return Update{}, false
 	case DomainSum:
 		e.hearSum(m, now)
-		return Heard{}, false
+		return Update{}, false
 	}
 	switch {
 	case e.large() && e.isHub:
 		e.hearWord(m, from, false, now)
-		return Heard{}, false
+		return Update{}, false
 	case now.Sub(e.listened.at) < hubsLost:
-		return Heard{}, false // it is in the sums that the hub tells
+		return Update{}, false // it is in the sums that the hub tells
 	}
-	return Heard{m.From, m.Digest}, true
+	return Update{m.From, m.Report}, true
 }
 
 // listens tells whether the sums of a hub are taken in. One of the own domain goes before others.
@@ -272,7 +272,7 @@
 		e.words[m.From] = w
 	}
 	if w.unheard { // two since the last round
-		m.Digest = later(&w.Digest, m.Digest)
+		m.Report = later(&w.Report, m.Report)
 	}
 	w.Message, w.at, w.unheard = m, now, true
 	if asks {
@@ -290,9 +290,9 @@
 		return
 	}
 	if s.unheard {
-		m.Digest = later(&s.digest, m.Digest)
+		m.Report = later(&s.digest, m.Report)
 	}
-	s.digest, s.unheard = m.Digest, true
+	s.digest, s.unheard = m.Report, true
 }
 
 func (e *Exchange) forget(now time.Time) {
@@ -309,14 +309,14 @@
 }
 
 // asHub answers those who ask, tells the hubs of the other domains, and takes in the sums.
-func (e *Exchange) asHub(out []Envelope, own placement.Digest, now time.Time) ([]Envelope, []Heard) {
+func (e *Exchange) asHub(out []Envelope, own placement.LoadReport, now time.Time) ([]Envelope, []Update) {
 	if len(e.words) == 0 && !e.isHub {
 		return out, nil
 	}
 	domain, region := e.heardLoad()
-	var heard []Heard
+	var heard []Update
 	if e.isHub {
-		heard = append(heard, Heard{regionSource, region.digest(nil, false)})
+		heard = append(heard, Update{regionSource, region.digest(nil, false)})
 	}
 	domain.add(&own, true)
 	region.add(&own, true)
@@ -334,9 +334,9 @@
 func (e *Exchange) heardLoad() (domain, region *sum) {
 	domain, region = newSum(), newSum()
 	for _, w := range e.words {
-		region.add(&w.Digest, w.unheard)
+		region.add(&w.Report, w.unheard)
 		if w.Domain == e.self.Domain {
-			domain.add(&w.Digest, w.unheard)
+			domain.add(&w.Report, w.unheard)
 		}
 	}
 	for _, s := range e.sums {
@@ -350,11 +350,11 @@
 	if !w.asks || slices.Contains(e.hubs, w.from) {
 		return out
 	}
-	d := region.digest(&w.Digest, w.unheard)
+	d := region.digest(&w.Report, w.unheard)
 	loaded := len(d.Servers) > 0
 	if !loaded && !w.toldLoad && now.Sub(w.answered) < idleEvery {
 		return out
 	}
 	w.answered, w.toldLoad = now, loaded
-	return append(out, Envelope{[]netip.AddrPort{w.from}, e.message(Region, d)})
+	return append(out, Envelope{[]netip.AddrPort{w.from}, e.message(RegionSum, d)})
 }
--- a/coordination/loadhub/loadhub_test.go
+++ b/coordination/loadhub/loadhub_test.go
@@ -29,8 +29,8 @@
 type instance struct {
 	Peer
 	exchange *Exchange
-	own      placement.Digest
-	heard    map[string]placement.Digest
+	own      placement.LoadReport
+	heard    map[string]placement.LoadReport
 	heardAt  map[string]time.Time
 	served   int // requests of others of which it has heard that they ended
 	messages int // sent
@@ -45,7 +45,7 @@
 	}
 	for _, p := range r.all {
 		r.parts[p.Address] = &instance{
-			Peer: p, exchange: New(p.ID, p.Domain, 0), heard: make(map[string]placement.Digest), heardAt: make(map[string]time.Time),
+			Peer: p, exchange: New(p.ID, p.Domain, 0), heard: make(map[string]placement.LoadReport), heardAt: make(map[string]time.Time),
 		}
 	}
 	r.meet()
@@ -69,10 +69,10 @@
 func (r *region) draw() {
 	for _, p := range r.all {
 		i := r.parts[p.Address]
-		i.own = placement.Digest{}
+		i.own = placement.LoadReport{}
 		for n := range testOwn {
 			i.own.Servers = append(i.own.Servers, placement.ServerLoad{
-				Server: uint32(r.rng.IntN(testServers/testOwn)*testOwn + n), InFlight: 1 + r.rng.IntN(3), Pending: r.rng.IntN(5000),
+				Server: uint32(r.rng.IntN(testServers/testOwn)*testOwn + n), InFlight: 1 + r.rng.IntN(3), PendingTokens: r.rng.IntN(5000),
 			})
 		}
 	}
@@ -80,10 +80,10 @@
 
 // round lets all tell their load; messages arrive within it.
 func (r *region) round() {
-	r.now = r.now.Add(Every)
+	r.now = r.now.Add(ReportInterval)
 	for _, p := range r.all {
 		if i := r.parts[p.Address]; !i.dead {
-			out, heard := i.exchange.Round(placement.Digest{Servers: slices.Clone(i.own.Servers)}, r.now)
+			out, heard := i.exchange.Round(placement.LoadReport{Servers: slices.Clone(i.own.Servers)}, r.now)
 			for _, h := range heard {
 				i.absorb(h, r.now)
 			}
@@ -105,15 +105,15 @@
 		if i.dead || r.rng.Float64() < r.loss {
 			continue
 		}
-		if heard, ok := i.exchange.Hear(e.Message, from.Address, r.now); ok {
+		if heard, ok := i.exchange.Receive(e.Message, from.Address, r.now); ok {
 			i.absorb(heard, r.now)
 		}
 	}
 }
 
-func (i *instance) absorb(h Heard, now time.Time) {
-	i.heard[h.Source], i.heardAt[h.Source] = h.Digest, now
-	for _, load := range h.Digest.Servers {
+func (i *instance) absorb(h Update, now time.Time) {
+	i.heard[h.Source], i.heardAt[h.Source] = h.Report, now
+	for _, load := range h.Report.Servers {
 		i.served += load.Served
 	}
 }
@@ -213,14 +213,14 @@
 			for _, hub := range hubsOf(domain)[:hubs] {
 				r.parts[hub.Address].dead = true
 			}
-			r.rounds(int(hubsLost/Every) + 2)
+			r.rounds(int(hubsLost/ReportInterval) + 2)
 			r.draw()
 			r.rounds(3)
 			if wrong := r.wrong(); wrong > 0.02 {
 				t.Errorf("wrong about %.2f of the load before the members know", wrong)
 			}
 			r.meet()
-			r.rounds(int(hubsLost/Every) + 4)
+			r.rounds(int(hubsLost/ReportInterval) + 4)
 			sent := r.sent
 			r.rounds(1)
 			if wrong := r.wrong(); wrong > 0 || r.sent-sent > 64*6 {
@@ -269,18 +269,18 @@
 	r := newRegion(64, 2)
 	r.draw()
 	idle := r.parts[r.all[7].Address]
-	idle.own = placement.Digest{}
+	idle.own = placement.LoadReport{}
 	r.rounds(20)
 	if wrong := r.wrong(); wrong > 0 {
 		t.Errorf("wrong about %.2f of the load", wrong)
 	}
 	for _, i := range r.parts {
-		i.own = placement.Digest{}
+		i.own = placement.LoadReport{}
 	}
 	r.rounds(20)
 	sent := r.sent
 	r.rounds(50)
-	if per := float64(r.sent-sent) / (64 * 50 * Every.Seconds()); per > 25 {
+	if per := float64(r.sent-sent) / (64 * 50 * ReportInterval.Seconds()); per > 25 {
 		t.Errorf("%.0f datagrams a second and instance of an idle fleet", per)
 	}
 }
--- a/coordination/loadhub/sum.go
+++ b/coordination/loadhub/sum.go
@@ -16,7 +16,7 @@
 
 func newSum() *sum { return &sum{servers: make(map[uint32]placement.ServerLoad)} }
 
-func (s *sum) add(d *placement.Digest, unheard bool) {
+func (s *sum) add(d *placement.LoadReport, unheard bool) {
 	for _, load := range d.Servers {
 		s.count(load, unheard)
 	}
@@ -28,8 +28,8 @@
 func (s *sum) count(load placement.ServerLoad, outcomes bool) {
 	total := s.servers[load.Server]
 	total.Server = load.Server
-	total.Pending += load.Pending
-	total.Urgent += load.Urgent
+	total.PendingTokens += load.PendingTokens
+	total.UrgentTokens += load.UrgentTokens
 	total.InFlight += load.InFlight
 	if outcomes {
 		total.Served += load.Served
@@ -40,27 +40,27 @@
 }
 
 // digest returns the sum without what one instance of it contributed.
-func (s *sum) digest(without *placement.Digest, unheard bool) placement.Digest {
+func (s *sum) digest(without *placement.LoadReport, unheard bool) placement.LoadReport {
 	own := make(map[uint32]placement.ServerLoad)
 	if without != nil {
 		for _, load := range without.Servers {
 			own[load.Server] = load
 		}
 	}
-	out := placement.Digest{Dispatches: s.dispatches}
+	out := placement.LoadReport{Dispatches: s.dispatches}
 	if len(out.Dispatches) > placement.MaxDispatches {
 		out.Dispatches = out.Dispatches[:placement.MaxDispatches]
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
 		load, less := s.servers[id], own[id]
-		load.Pending -= less.Pending
-		load.Urgent -= less.Urgent
+		load.PendingTokens -= less.PendingTokens
+		load.UrgentTokens -= less.UrgentTokens
 		load.InFlight -= less.InFlight
 		if unheard {
 			load.Served -= less.Served
 			load.Failed -= less.Failed
 		}
-		if load.Pending != 0 || load.InFlight != 0 || load.Served != 0 || load.Failed != 0 || load.Down {
+		if load.PendingTokens != 0 || load.InFlight != 0 || load.Served != 0 || load.Failed != 0 || load.Down {
 			out.Servers = append(out.Servers, load)
 		}
 	}
@@ -68,12 +68,12 @@
 }
 
 // later returns the newer of two words of one sender, with what ended and was sent by both.
-func later(first *placement.Digest, second placement.Digest) placement.Digest {
+func later(first *placement.LoadReport, second placement.LoadReport) placement.LoadReport {
 	ended := make(map[uint32]placement.ServerLoad)
 	for _, load := range first.Servers {
 		ended[load.Server] = load
 	}
-	out := placement.Digest{Dispatches: slices.Concat(first.Dispatches, second.Dispatches)}
+	out := placement.LoadReport{Dispatches: slices.Concat(first.Dispatches, second.Dispatches)}
 	for _, load := range second.Servers {
 		before := ended[load.Server]
 		delete(ended, load.Server)
--- a/coordination/placement/bench_test.go
+++ b/coordination/placement/bench_test.go
@@ -19,18 +19,18 @@
 				list = append(list, backends.Entry{Server: backends.Server{ID: fmt.Sprint("s", i), Address: fmt.Sprint("a", i), Slots: 64}, Incarnation: 1})
 			}
 			p := New()
-			p.Update(Settings{Engine: true, Slots: 64, CacheTokens: 200_000, FetchTime: 1e-6}, list)
+			p.Update(Settings{Engine: true, Slots: 64, CacheTokens: 200_000, FetchSecondsPerToken: 1e-6}, list)
 			for peer := range 12 {
-				d := Digest{}
+				d := LoadReport{}
 				for _, s := range p.servers {
-					d.Servers = append(d.Servers, ServerLoad{Server: uint32(s.hash), Pending: 1000, InFlight: 3})
+					d.Servers = append(d.Servers, ServerLoad{Server: uint32(s.hash), PendingTokens: 1000, InFlight: 3})
 				}
-				p.Absorb(fmt.Sprint("peer", peer), &d, start)
+				p.ApplyReport(fmt.Sprint("peer", peer), &d, start)
 			}
 			b.ReportAllocs()
 			for i := range b.N {
 				pl := p.Place(prompt(uint64(i%100), 500), start).Placement
-				p.FirstByte(pl, start.Add(50*time.Millisecond))
+				p.RecordFirstByte(pl, start.Add(50*time.Millisecond))
 				p.Done(pl, OutcomeServed, start.Add(time.Second))
 			}
 		})
--- a/coordination/placement/cache.go
+++ b/coordination/placement/cache.go
@@ -16,7 +16,7 @@
 
 // match returns the tokens of the leading parts that are held. A part counts only
 // when all parts before it are held too.
-func (c *cache) match(parts []Part) int {
+func (c *cache) match(parts []PromptSegment) int {
 	total := 0
 	for _, p := range parts {
 		if c.parts[p.ID] == nil {
@@ -28,7 +28,7 @@
 }
 
 // touch notes that a prompt was sent, and drops what is beyond the capacity.
-func (c *cache) touch(parts []Part, capacity int) {
+func (c *cache) touch(parts []PromptSegment, capacity int) {
 	for i := len(parts) - 1; i >= 0; i-- { // the first part ends up as the most recent
 		p := parts[i]
 		if e := c.parts[p.ID]; e != nil {
@@ -40,7 +40,7 @@
 	}
 	for c.size > capacity && c.order.Len() > 0 {
 		last := c.order.Back()
-		p := c.order.Remove(last).(Part)
+		p := c.order.Remove(last).(PromptSegment)
 		delete(c.parts, p.ID)
 		c.size -= p.Tokens
 	}
--- a/coordination/placement/cost.go
+++ b/coordination/placement/cost.go
@@ -19,7 +19,7 @@
 }
 
 // tooLate tells whether a request that misses its objective is not worth its place.
-func (c *candidate) tooLate(w *Work, now time.Time) bool {
+func (c *candidate) tooLate(w *Request, now time.Time) bool {
 	return c.expected > lateShare*w.Deadline.Sub(now).Seconds() || c.expected-c.own > lateAhead*w.Objective.Seconds()
 }
 
@@ -47,7 +47,7 @@
 // begins at once, so what earlier answers took beyond what was expected makes it dearer than
 // others there, and late only where requests wait: one slow answer of a region's only
 // server would else have all others refused beside free slots until it is forgotten.
-func (p *Pool) weigh(c *candidate, s *server, w *Work, home *server, longest float64, now time.Time) {
+func (p *Pool) weigh(c *candidate, s *server, w *Request, home *server, longest float64, now time.Time) {
 	*c = candidate{server: s}
 	if !p.settings.Engine {
 		slots := p.slots(s)
@@ -59,7 +59,7 @@
 		c.cost = c.expected + s.excess(now) + p.running(s, now)*p.work/slots
 		return
 	}
-	c.cached = s.cache.match(w.Parts)
+	c.cached = s.cache.match(w.Segments)
 	c.unread = float64(max(w.Tokens-c.cached, 0))
 	others := max(s.peers.pendingOf(w.Urgency), s.waiting*fade(now.Sub(s.reportedAt))*p.unread)
 	c.ahead = s.pendingOf(w.Urgency) + others
@@ -80,6 +80,6 @@
 const runningCost = 0.0003
 
 // onTime tells whether the answer should begin within the objective.
-func (c *candidate) onTime(w *Work, now time.Time) bool {
+func (c *candidate) onTime(w *Request, now time.Time) bool {
 	return w.Objective <= 0 || seconds(c.expected) <= share(w.Objective-now.Sub(w.Arrived), objectiveShare)
 }
--- a/coordination/placement/digest.go
+++ b/coordination/placement/digest.go
@@ -17,23 +17,23 @@
 
 // ServerLoad is what one instance has under way at a server.
 type ServerLoad struct {
-	Server   uint32 // hash of the id
-	Pending  int    // prompt tokens whose reading has not ended
-	Urgent   int    // those of the highest urgency
-	InFlight int
-	Served   int  // ended well since the last digest
-	Failed   int  // failed since then
-	Down     bool // nothing listens there
+	Server        uint32 // hash of the id
+	PendingTokens int    // prompt tokens whose reading has not ended
+	UrgentTokens  int    // those of the highest urgency
+	InFlight      int
+	Served        int  // ended well since the last digest
+	Failed        int  // failed since then
+	Down          bool // nothing listens there
 }
 
 // Dispatch says that a server was sent shared parts.
 type Dispatch struct {
-	Server uint32
-	Parts  []Part
+	Server   uint32
+	Segments []PromptSegment
 }
 
-// Digest is what an instance tells the others of its region.
-type Digest struct {
+// LoadReport is what an instance tells the others of its region.
+type LoadReport struct {
 	Servers    []ServerLoad
 	Dispatches []Dispatch
 }
@@ -55,8 +55,8 @@
 type peerTotals struct{ pending, urgent, inFlight int }
 
 func (t *peerTotals) add(load *ServerLoad, sign int) {
-	t.pending += sign * load.Pending
-	t.urgent += sign * load.Urgent
+	t.pending += sign * load.PendingTokens
+	t.urgent += sign * load.UrgentTokens
 	t.inFlight += sign * load.InFlight
 }
 
@@ -89,26 +89,26 @@
 }
 
 // note keeps a dispatch for the next digest.
-func (p *Pool) note(s *server, parts []Part) {
+func (p *Pool) note(s *server, parts []PromptSegment) {
 	if len(parts) < 2 || len(p.sent) >= MaxDispatches {
 		return
 	}
-	p.sent = append(p.sent, Dispatch{Server: uint32(s.hash), Parts: parts[:len(parts)-1]})
+	p.sent = append(p.sent, Dispatch{Server: uint32(s.hash), Segments: parts[:len(parts)-1]})
 }
 
-// Digest returns what the others are to know. Servers at which nothing is under way
+// LoadReport returns what the others are to know. Servers at which nothing is under way
 // are left out: what is not named is none.
-func (p *Pool) Digest() Digest {
+func (p *Pool) LoadReport() LoadReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := Digest{Dispatches: p.sent}
+	d := LoadReport{Dispatches: p.sent}
 	p.sent = nil
 	for _, s := range p.servers {
 		if s.inFlight == 0 && s.newServed == 0 && s.newFailed == 0 && !s.newDown {
 			continue
 		}
 		d.Servers = append(d.Servers, ServerLoad{
-			Server: uint32(s.hash), Pending: int(s.allPending()), Urgent: int(s.pendingOf(0)), InFlight: s.inFlight,
+			Server: uint32(s.hash), PendingTokens: int(s.allPending()), UrgentTokens: int(s.pendingOf(0)), InFlight: s.inFlight,
 			Served: s.newServed, Failed: s.newFailed, Down: s.newDown,
 		})
 		s.newServed, s.newFailed, s.newDown = 0, 0, false
@@ -116,8 +116,8 @@
 	return d
 }
 
-// Absorb takes in the digest of another instance.
-func (p *Pool) Absorb(from string, d *Digest, now time.Time) {
+// ApplyReport takes in the digest of another instance.
+func (p *Pool) ApplyReport(from string, d *LoadReport, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forget(from)
@@ -132,7 +132,7 @@
 	p.peers[from] = word
 	for _, sent := range d.Dispatches {
 		if s := p.byHash[sent.Server]; s != nil {
-			s.cache.touch(sent.Parts, p.cacheCapacity())
+			s.cache.touch(sent.Segments, p.cacheCapacity())
 		}
 	}
 }
--- a/coordination/placement/digest_test.go
+++ b/coordination/placement/digest_test.go
@@ -14,7 +14,7 @@
 	p := engines(2)
 	now := start
 	tell := func(server *server, pending, inFlight int) {
-		p.Absorb("peer", &Digest{Servers: []ServerLoad{{Server: uint32(server.hash), Pending: pending, InFlight: inFlight}}}, now)
+		p.ApplyReport("peer", &LoadReport{Servers: []ServerLoad{{Server: uint32(server.hash), PendingTokens: pending, InFlight: inFlight}}}, now)
 	}
 	for range 5 {
 		now = now.Add(60 * time.Millisecond)
--- a/coordination/placement/disturb.go
+++ b/coordination/placement/disturb.go
@@ -93,7 +93,7 @@
 
 // longestPause returns the longest pause that reading the prompt should cause at a server
 // of mean speed, in seconds; 0 while too little was seen.
-func (p *Pool) longestPause(w *Work) float64 {
+func (p *Pool) longestPause(w *Request) float64 {
 	if !p.settings.Engine || !p.on(features.LimitEventGaps) {
 		return 0
 	}
--- a/coordination/placement/disturb_test.go
+++ b/coordination/placement/disturb_test.go
@@ -35,9 +35,9 @@
 		s.Slots = 64
 		s.inFlight = 10 // answers that run
 	}
-	sized := func(own int) *Work {
+	sized := func(own int) *Request {
 		w := prompt(7, own)
-		w.Parts[1].ID += uint64(own) // no two prompts share their own part
+		w.Segments[1].ID += uint64(own) // no two prompts share their own part
 		w.Deadline = start.Add(15 * time.Second)
 		return w
 	}
@@ -46,7 +46,7 @@
 	holder := first.server
 	holder.inFlight += 20
 	long := p.Place(sized(150_000), start)
-	if long.Placement == nil || long.Placement.server == holder || long.Pause < p.gap {
+	if long.Placement == nil || long.Placement.server == holder || long.ExpectedEventGap < p.gap {
 		t.Fatalf("the very long prompt is read between the answers of its holder: %+v", long)
 	}
 	p.Done(long.Placement, OutcomeCancelled, start)
@@ -67,7 +67,7 @@
 			s.addPending(0, 4000)
 		}
 	}
-	w := &Work{Tokens: 40_000, Parts: []Part{{9, 40_000}}, Urgency: 1, Arrived: start, Deadline: start.Add(15 * time.Second)}
+	w := &Request{Tokens: 40_000, Segments: []PromptSegment{{9, 40_000}}, Urgency: 1, Arrived: start, Deadline: start.Add(15 * time.Second)}
 	if got := place(t, p, w, start); got.Server.ID == "s0" {
 		t.Error("read at the slow server")
 	}
--- a/coordination/placement/failing_test.go
+++ b/coordination/placement/failing_test.go
@@ -38,7 +38,7 @@
 		for range perTick {
 			p := pools[rng.IntN(instances)]
 			probe := rng.IntN(4) == 0
-			w := Work{Tokens: 500, Objective: time.Second, Arrived: now, Deadline: now.Add(5 * time.Second), Probe: probe}
+			w := Request{Tokens: 500, Objective: time.Second, Arrived: now, Deadline: now.Add(5 * time.Second), Probe: probe}
 			choice := p.Place(&w, now)
 			outcome := OutcomeServed
 			if choice.Placement.Server.ID == failing {
@@ -59,10 +59,10 @@
 		}
 		if step++; step%4 == 0 {
 			for i, from := range pools {
-				d := from.Digest()
+				d := from.LoadReport()
 				for j, to := range pools {
 					if i != j {
-						to.Absorb(fmt.Sprint(i), &d, now)
+						to.ApplyReport(fmt.Sprint(i), &d, now)
 					}
 				}
 			}
@@ -98,8 +98,8 @@
 	return p, streams
 }
 
-func question(risk bool) *Work {
-	return &Work{Tokens: 500, Objective: time.Second, Arrived: replayStart, Deadline: replayStart.Add(5 * time.Second), Risk: risk}
+func question(risk bool) *Request {
+	return &Request{Tokens: 500, Objective: time.Second, Arrived: replayStart, Deadline: replayStart.Add(5 * time.Second), AllowEjected: risk}
 }
 
 // A server begins to fail what it is sent and is set aside. The streams that it began
--- a/coordination/placement/far.go
+++ b/coordination/placement/far.go
@@ -16,8 +16,8 @@
 // server is asked that the hash names there. One that holds nothing costs the fetch's
 // beginning only.
 
-// Source is a server of another region from which shared parts may be fetched.
-type Source struct {
+// FetchSource is a server of another region from which shared parts may be fetched.
+type FetchSource struct {
 	Address string
 	Tokens  int // that it is known to hold; 0 when it is a guess
 }
@@ -28,8 +28,8 @@
 	hash    uint64
 }
 
-// UpdateFar takes in the servers of another region.
-func (p *Pool) UpdateFar(region string, entries []backends.Entry) {
+// UpdateRemote takes in the servers of another region.
+func (p *Pool) UpdateRemote(region string, entries []backends.Entry) {
 	servers := make([]farServer, len(entries))
 	for i, e := range entries {
 		servers[i] = farServer{address: e.Address, hash: xxhash.Sum64String(e.ID)}
@@ -42,16 +42,16 @@
 	p.far[region] = servers
 }
 
-// FarSource returns the server of another region that the hash names for the request's
+// RemoteFetchSource returns the server of another region that the hash names for the request's
 // shared parts; none when they are too few to be fetched.
-func (p *Pool) FarSource(w *Work, region string) Source {
+func (p *Pool) RemoteFetchSource(w *Request, region string) FetchSource {
 	if w.shared() < leastFetch {
-		return Source{}
+		return FetchSource{}
 	}
 	subject := w.subject()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var source Source
+	var source FetchSource
 	var top uint64
 	for _, s := range p.far[region] {
 		if score := rendezvous(s.hash, subject); source.Address == "" || score > top {
@@ -61,27 +61,27 @@
 	return source
 }
 
-// Holder returns the server here that holds most of the request's shared parts; none when
+// LocalFetchSource returns the server here that holds most of the request's shared parts; none when
 // that is too little to be fetched.
-func (p *Pool) Holder(w *Work, now time.Time) Source {
+func (p *Pool) LocalFetchSource(w *Request, now time.Time) FetchSource {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, held := p.holder(w, p.setAside(now))
 	if s == nil || held < leastFetch {
-		return Source{}
+		return FetchSource{}
 	}
-	return Source{Address: s.Address, Tokens: held}
+	return FetchSource{Address: s.Address, Tokens: held}
 }
 
 // fetchFar lets the candidate fetch from another region what no server here holds.
-func (p *Pool) fetchFar(c *candidate, w *Work) {
-	known := w.Far.Tokens - c.cached
+func (p *Pool) fetchFar(c *candidate, w *Request) {
+	known := w.RemoteSource.Tokens - c.cached
 	switch {
-	case c.fetchFrom != "" || w.Far.Address == "" || p.settings.FetchTime <= 0 || !p.on(features.RemoteFetch):
-	case w.Far.Tokens == 0 && w.shared()-c.cached >= leastFetch:
-		c.fetchFrom = w.Far.Address
+	case c.fetchFrom != "" || w.RemoteSource.Address == "" || p.settings.FetchSecondsPerToken <= 0 || !p.on(features.RemoteFetch):
+	case w.RemoteSource.Tokens == 0 && w.shared()-c.cached >= leastFetch:
+		c.fetchFrom = w.RemoteSource.Address
 	case known >= leastFetch:
-		p.fetchFrom(c, w.Far.Address, float64(known), farFetch*p.settings.FetchTime)
+		p.fetchFrom(c, w.RemoteSource.Address, float64(known), farFetch*p.settings.FetchSecondsPerToken)
 	}
 }
 
--- a/coordination/placement/far_test.go
+++ b/coordination/placement/far_test.go
@@ -9,7 +9,7 @@
 // fetchingEngines are engines that fetch a token in a millionth of a second.
 func fetchingEngines(n int) *Pool {
 	p := New()
-	p.Update(Settings{Engine: true, Slots: 8, CacheTokens: 200_000, FetchTime: 1e-6}, entries(n))
+	p.Update(Settings{Engine: true, Slots: 8, CacheTokens: 200_000, FetchSecondsPerToken: 1e-6}, entries(n))
 	return p
 }
 
@@ -19,15 +19,15 @@
 func TestForwardedPromptIsFetchedFromItsHolder(t *testing.T) {
 	home, far := fetchingEngines(2), fetchingEngines(2)
 	first := place(t, home, prompt(7, 100), start)
-	home.FirstByte(first, start)
+	home.RecordFirstByte(first, start)
 	w := prompt(7, 200)
-	w.Parts[1].ID++
-	w.Far = home.Holder(w, start)
-	if w.Far.Address != first.Server.Address || w.Far.Tokens != 6000 {
-		t.Fatalf("holder %+v, want %s with 6000 tokens", w.Far, first.Server.Address)
+	w.Segments[1].ID++
+	w.RemoteSource = home.LocalFetchSource(w, start)
+	if w.RemoteSource.Address != first.Server.Address || w.RemoteSource.Tokens != 6000 {
+		t.Fatalf("holder %+v, want %s with 6000 tokens", w.RemoteSource, first.Server.Address)
 	}
 	c := far.Place(w, start)
-	if c.FetchFrom != w.Far.Address || c.Placement.tokens > 200 {
+	if c.FetchFrom != w.RemoteSource.Address || c.Placement.tokens > 200 {
 		t.Errorf("fetches from %q and reads %v tokens", c.FetchFrom, c.Placement.tokens)
 	}
 }
@@ -42,12 +42,12 @@
 		servers = append(servers, backends.Entry{Server: backends.Server{ID: id, Address: "far-" + id, Slots: 8}, Incarnation: 1})
 	}
 	there.Update(Settings{Engine: true, Slots: 8, CacheTokens: 200_000}, servers)
-	here.UpdateFar("there", servers)
+	here.UpdateRemote("there", servers)
 	for subject := range uint64(20) {
 		w := prompt(subject, 100)
 		read := place(t, there, prompt(subject, 100), start)
 		there.Done(read, OutcomeCancelled, start)
-		w.Far = here.FarSource(w, "there")
+		w.RemoteSource = here.RemoteFetchSource(w, "there")
 		c := here.Place(w, start)
 		if c.Placement == nil {
 			t.Fatalf("subject %d: refused: %s", subject, c.Reason)
@@ -60,7 +60,7 @@
 		}
 		here.Done(c.Placement, OutcomeCancelled, start)
 	}
-	if got := here.FarSource(&Work{Parts: []Part{{1, 100}, {2, 50}}}, "there"); got.Address != "" {
+	if got := here.RemoteFetchSource(&Request{Segments: []PromptSegment{{1, 100}, {2, 50}}}, "there"); got.Address != "" {
 		t.Errorf("asks %q for parts that are read faster", got.Address)
 	}
 }
--- a/coordination/placement/features_test.go
+++ b/coordination/placement/features_test.go
@@ -15,7 +15,7 @@
 	}
 	p := New()
 	p.Update(Settings{
-		Engine: true, Slots: 8, CacheTokens: 200_000, FetchTime: 1e-6, Features: features.NewSet(settings),
+		Engine: true, Slots: 8, CacheTokens: 200_000, FetchSecondsPerToken: 1e-6, Features: features.NewSet(settings),
 	}, entries(n))
 	return p
 }
@@ -30,12 +30,12 @@
 		{features.PreferredServers, func(p *Pool) bool { return p.home(7) != nil }},
 		{features.Fetch, func(p *Pool) bool {
 			pl := p.Place(prompt(7, 100), start).Placement
-			held := p.Holder(prompt(7, 100), start)
+			held := p.LocalFetchSource(prompt(7, 100), start)
 			return pl != nil && held.Address != ""
 		}},
 		{features.RemoteFetch, func(p *Pool) bool {
 			w := prompt(7, 100)
-			w.Far = Source{Address: "far"}
+			w.RemoteSource = FetchSource{Address: "far"}
 			return p.Place(w, start).FetchFrom != ""
 		}},
 		{features.Ejection, func(p *Pool) bool {
@@ -50,20 +50,20 @@
 			}
 			p.servers[0].failures = failureLimit
 			w := prompt(7, 100)
-			w.Risk = true
+			w.AllowEjected = true
 			return p.lastResort(w, start) != nil
 		}},
 		{features.PoolLatencyFactor, func(p *Pool) bool {
 			pl := p.Place(prompt(7, 100), start).Placement
-			p.FirstByte(pl, start.Add(2*time.Second))
+			p.RecordFirstByte(pl, start.Add(2*time.Second))
 			return p.pace > 1
 		}},
 		{features.SpillByStall, func(p *Pool) bool {
 			pl := p.Place(prompt(7, 100), start).Placement
 			for i := range 200 {
-				p.Event(pl, time.Duration(30+i)*time.Millisecond, start)
+				p.RecordEvent(pl, time.Duration(30+i)*time.Millisecond, start)
 			}
-			return p.Slowed(start) > 0
+			return p.StallFraction(start) > 0
 		}},
 		{features.LimitEventGaps, func(p *Pool) bool {
 			teachPauses(p, start)
--- a/coordination/placement/fetch.go
+++ b/coordination/placement/fetch.go
@@ -3,8 +3,8 @@
 import "github.com/basilroute/basilroute/service/features"
 
 // holder returns the server that holds most of the prompt, and how much.
-func (p *Pool) holder(w *Work, aside map[*server]bool) (*server, int) {
-	if p.settings.FetchTime <= 0 || len(w.Parts) == 0 || !p.on(features.Fetch) {
+func (p *Pool) holder(w *Request, aside map[*server]bool) (*server, int) {
+	if p.settings.FetchSecondsPerToken <= 0 || len(w.Segments) == 0 || !p.on(features.Fetch) {
 		return nil, 0
 	}
 	var best *server
@@ -13,7 +13,7 @@
 		if aside[s] {
 			continue
 		}
-		if n := s.cache.match(w.Parts); n > held {
+		if n := s.cache.match(w.Segments); n > held {
 			best, held = s, n
 		}
 	}
@@ -38,7 +38,7 @@
 	if holder == nil || gain < leastFetch {
 		return
 	}
-	p.fetchFrom(c, holder.Address, gain, p.settings.FetchTime)
+	p.fetchFrom(c, holder.Address, gain, p.settings.FetchSecondsPerToken)
 }
 
 // fetchFrom lets the candidate fetch some tokens, each in a time, in seconds.
--- a/coordination/placement/lastresort.go
+++ b/coordination/placement/lastresort.go
@@ -14,8 +14,8 @@
 // part of their requests, nil when none would answer in time. At a peak they still carry
 // what the others cannot. It is not for requests
 // that may take effect and then look as if they had not.
-func (p *Pool) lastResort(w *Work, now time.Time) *candidate {
-	if !w.Risk || !p.on(features.EjectedFallback) {
+func (p *Pool) lastResort(w *Request, now time.Time) *candidate {
+	if !w.AllowEjected || !p.on(features.EjectedFallback) {
 		return nil
 	}
 	aside := p.setAside(now)
--- a/coordination/placement/pace.go
+++ b/coordination/placement/pace.go
@@ -40,8 +40,8 @@
 	s.at = now
 }
 
-// Event takes in that a running answer has gone on, pause after its last event.
-func (p *Pool) Event(pl *Placement, pause time.Duration, now time.Time) {
+// RecordEvent takes in that a running answer has gone on, pause after its last event.
+func (p *Pool) RecordEvent(pl *Placement, pause time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.settings.Engine {
@@ -69,8 +69,8 @@
 	return 1 - p.fastest/s.steps.mean
 }
 
-// Slowed returns that part over the servers that may be used.
-func (p *Pool) Slowed(now time.Time) float64 {
+// StallFraction returns that part over the servers that may be used.
+func (p *Pool) StallFraction(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.allSlowed(now)
--- a/coordination/placement/pace_test.go
+++ b/coordination/placement/pace_test.go
@@ -17,9 +17,9 @@
 	run := func(events int, pause time.Duration) float64 {
 		for range events {
 			now = now.Add(pause / 8) // eight answers run beside each other
-			p.Event(pl, pause, now)
+			p.RecordEvent(pl, pause, now)
 		}
-		return p.Slowed(now)
+		return p.StallFraction(now)
 	}
 	if got := run(200, 30*time.Millisecond); got != 0 {
 		t.Errorf("slowed by %.2f at the engine's own pace", got)
@@ -31,7 +31,7 @@
 		t.Errorf("slowed by %.2f when the reading is over", got)
 	}
 	run(120, 90*time.Millisecond)
-	if got := p.Slowed(now.Add(2 * time.Second)); got != 0 {
+	if got := p.StallFraction(now.Add(2 * time.Second)); got != 0 {
 		t.Errorf("an idle engine is slowed by %.2f", got)
 	}
 }
@@ -48,9 +48,9 @@
 			pause = time.Millisecond
 		}
 		now = now.Add(5 * time.Millisecond)
-		p.Event(pl, pause, now)
+		p.RecordEvent(pl, pause, now)
 	}
-	if got := p.Slowed(now); got > 0.05 {
+	if got := p.StallFraction(now); got > 0.05 {
 		t.Errorf("slowed by %.2f", got)
 	}
 }
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -38,13 +38,13 @@
 
 // Settings of a pool.
 type Settings struct {
-	Engine      bool    // servers are model engines
-	Slots       int     // requests that a server runs at once; used when an entry does not say
-	CacheTokens int     // prompt capacity of an engine
-	FetchTime   float64 // seconds for which a server fetches one cached token from another; 0 when they move none
-	ColdRate    float64 // requests per second of a cold server over all instances; 0 for no limit
-	ColdOwner   func(server string) bool
-	Features    features.Set
+	Engine               bool    // servers are model engines
+	Slots                int     // requests that a server runs at once; used when an entry does not say
+	CacheTokens          int     // prompt capacity of an engine
+	FetchSecondsPerToken float64 // seconds for which a server fetches one cached token from another; 0 when they move none
+	ColdRate             float64 // requests per second of a cold server over all instances; 0 for no limit
+	OwnsColdServer       func(server string) bool
+	Features             features.Set
 }
 
 const (
@@ -94,36 +94,36 @@
 	cacheShare = 0.6
 )
 
-// Part is one part of a prompt, in order.
-type Part struct {
+// PromptSegment is one part of a prompt, in order.
+type PromptSegment struct {
 	ID     uint64
 	Tokens int
 }
 
-// Work is what a choice needs to know of a request.
-type Work struct {
-	Parts     []Part // the last one is the request's own
-	Tokens    int    // of the whole prompt
-	Urgency   int    // 0 is the most urgent
-	Objective time.Duration
-	Gap       time.Duration // longest pause within an answer that is on time; 0 for none
-	Arrived   time.Time
-	Deadline  time.Time
-	Exclude   []string // servers that were tried
-	Far       Source   // another region's server that may hold shared parts
-	OnTime    bool     // refuse when the objective would be missed
-	Risk      bool     // may go to a server that fails a part of its requests rather than be refused
-	Probe     bool     // may run on a server that is set aside, to see whether it has recovered
+// Request is what a choice needs to know of a request.
+type Request struct {
+	Segments     []PromptSegment // the last one is the request's own
+	Tokens       int             // of the whole prompt
+	Urgency      int             // 0 is the most urgent
+	Objective    time.Duration
+	MaxEventGap  time.Duration // longest pause within an answer that is on time; 0 for none
+	Arrived      time.Time
+	Deadline     time.Time
+	Exclude      []string    // servers that were tried
+	RemoteSource FetchSource // another region's server that may hold shared parts
+	RejectIfLate bool        // refuse when the objective would be missed
+	AllowEjected bool        // may go to a server that fails a part of its requests rather than be refused
+	Probe        bool        // may run on a server that is set aside, to see whether it has recovered
 }
 
 // subject is the hash of the shared parts; 0 when there are none.
-func (w *Work) subject() uint64 {
-	if len(w.Parts) < 2 {
+func (w *Request) subject() uint64 {
+	if len(w.Segments) < 2 {
 		return 0
 	}
 	var digest xxhash.Digest
 	digest.Reset()
-	for _, p := range w.Parts[:len(w.Parts)-1] {
+	for _, p := range w.Segments[:len(w.Segments)-1] {
 		var b [8]byte
 		for i := range b {
 			b[i] = byte(p.ID >> (8 * i))
@@ -133,9 +133,9 @@
 	return digest.Sum64()
 }
 
-func (w *Work) shared() int {
+func (w *Request) shared() int {
 	total := 0
-	for _, p := range w.Parts[:max(len(w.Parts)-1, 0)] {
+	for _, p := range w.Segments[:max(len(w.Segments)-1, 0)] {
 		total += p.Tokens
 	}
 	return total
@@ -154,16 +154,16 @@
 
 // Choice is the outcome of a placement.
 type Choice struct {
-	Placement  *Placement // nil when refused
-	Reason     Reason
-	RetryAfter time.Duration // when a request like this may be placed
-	Expected   time.Duration // to the first byte, at the best server
-	Late       bool          // it will miss its objective
-	Cached     int           // prompt tokens that the server is taken to hold
-	Running    int           // requests that it is taken to have
-	Backlog    int           // prompt tokens that it has to read for others before
-	Pause      time.Duration // the longest that reading the prompt should cause its running answers; 0 when not known
-	FetchFrom  string        // address of a server from which it should fetch more of them; may be empty
+	Placement         *Placement // nil when refused
+	Reason            Reason
+	RetryAfter        time.Duration // when a request like this may be placed
+	ExpectedFirstByte time.Duration // to the first byte, at the best server
+	Late              bool          // it will miss its objective
+	CachedTokens      int           // prompt tokens that the server is taken to hold
+	Running           int           // requests that it is taken to have
+	BacklogTokens     int           // prompt tokens that it has to read for others before
+	ExpectedEventGap  time.Duration // the longest that reading the prompt should cause its running answers; 0 when not known
+	FetchFrom         string        // address of a server from which it should fetch more of them; may be empty
 }
 
 // Placement is a request on a server. It ends with Done.
@@ -228,7 +228,7 @@
 }
 
 // Place chooses a server. The caller sends the request there at once.
-func (p *Pool) Place(w *Work, now time.Time) Choice {
+func (p *Pool) Place(w *Request, now time.Time) Choice {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	best, found := p.choose(w, now)
@@ -237,7 +237,7 @@
 		choice.Placement = p.start(best, w, now)
 		return choice
 	}
-	if w.OnTime {
+	if w.RejectIfLate {
 		return choice
 	}
 	if risky := p.lastResort(w, now); risky != nil {
@@ -254,29 +254,29 @@
 func (p *Pool) on(name features.Name) bool { return p.settings.Features.On(name) }
 
 // weighUp tells whether a request should go to the cheapest server, and if not, why.
-func (p *Pool) weighUp(best *candidate, w *Work, found census, now time.Time) Choice {
+func (p *Pool) weighUp(best *candidate, w *Request, found census, now time.Time) Choice {
 	if best == nil {
 		return p.refuse(found, now)
 	}
 	expected := seconds(best.expected)
 	choice := Choice{
-		Expected: expected, Cached: best.cached, FetchFrom: best.fetchFrom,
-		Running: int(p.running(best.server, now)), Backlog: int(best.ahead), Pause: seconds(best.pause),
+		ExpectedFirstByte: expected, CachedTokens: best.cached, FetchFrom: best.fetchFrom,
+		Running: int(p.running(best.server, now)), BacklogTokens: int(best.ahead), ExpectedEventGap: seconds(best.pause),
 	}
 	if best.onTime(w, now) {
 		return choice
 	}
 	choice.Late = true
-	if w.OnTime || best.tooLate(w, now) {
+	if w.RejectIfLate || best.tooLate(w, now) {
 		choice.Reason = ReasonFull
 		choice.RetryAfter = expected - share(w.Objective, objectiveShare)
 	}
 	return choice
 }
 
-// Expected returns the expected time to the first byte, and false when no server
+// ExpectedFirstByte returns the expected time to the first byte, and false when no server
 // can be used.
-func (p *Pool) Expected(w *Work, now time.Time) (time.Duration, bool) {
+func (p *Pool) ExpectedFirstByte(w *Request, now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	best, _ := p.choose(w, now)
@@ -293,7 +293,7 @@
 }
 
 // choose returns the cheapest server that may be used, nil when there is none.
-func (p *Pool) choose(w *Work, now time.Time) (*candidate, census) {
+func (p *Pool) choose(w *Request, now time.Time) (*candidate, census) {
 	p.forgetSilent(now)
 	aside := p.setAside(now)
 	return p.cheapest(w, aside, now, func(s *server) bool {
@@ -301,7 +301,7 @@
 	})
 }
 
-func (p *Pool) cheapest(w *Work, aside map[*server]bool, now time.Time, allowed func(*server) bool) (*candidate, census) {
+func (p *Pool) cheapest(w *Request, aside map[*server]bool, now time.Time, allowed func(*server) bool) (*candidate, census) {
 	var c census
 	subject := w.subject()
 	home := p.home(subject)
@@ -343,28 +343,28 @@
 }
 
 func (p *Pool) coldSlot(s *server, now time.Time) (time.Time, bool) {
-	if p.settings.ColdOwner != nil && !p.settings.ColdOwner(s.ID) {
+	if p.settings.OwnsColdServer != nil && !p.settings.OwnsColdServer(s.ID) {
 		return s.ColdUntil, false
 	}
 	return s.coldNext, !now.Before(s.coldNext)
 }
 
-func (p *Pool) start(c *candidate, w *Work, now time.Time) *Placement {
+func (p *Pool) start(c *candidate, w *Request, now time.Time) *Placement {
 	s := c.server
 	p.comeback.took(now)
 	s.inFlight++
 	s.addPending(w.Urgency, c.unread)
 	p.unread += (c.unread - p.unread) * unreadWeight
-	p.note(s, w.Parts)
+	p.note(s, w.Segments)
 	if now.Before(s.ColdUntil) && p.settings.ColdRate > 0 {
 		s.coldNext = now.Add(seconds(1 / p.settings.ColdRate))
 	}
 	if now.Before(s.asideUntil) {
 		s.probedAt = now
 	}
-	s.cache.touch(w.Parts, p.cacheCapacity())
-	if w.Gap > 0 && (p.gap == 0 || w.Gap < p.gap) {
-		p.gap = w.Gap
+	s.cache.touch(w.Segments, p.cacheCapacity())
+	if w.MaxEventGap > 0 && (p.gap == 0 || w.MaxEventGap < p.gap) {
+		p.gap = w.MaxEventGap
 	}
 	pl := &Placement{Server: s.Entry, server: s, tokens: c.unread, urgency: w.Urgency, Sent: now, expected: c.expected}
 	s.reading[pl] = &reading{tokens: float64(w.Tokens), since: now}
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -24,13 +24,13 @@
 	return p
 }
 
-func prompt(subject uint64, own int) *Work {
-	parts := []Part{{ID: subject, Tokens: 6000}, {ID: 1 << 50, Tokens: own}}
-	return &Work{Parts: parts, Tokens: 6000 + own, Urgency: 1, Objective: time.Second, Arrived: start, Deadline: start.Add(5 * time.Second)}
+func prompt(subject uint64, own int) *Request {
+	parts := []PromptSegment{{ID: subject, Tokens: 6000}, {ID: 1 << 50, Tokens: own}}
+	return &Request{Segments: parts, Tokens: 6000 + own, Urgency: 1, Objective: time.Second, Arrived: start, Deadline: start.Add(5 * time.Second)}
 }
 
 // place places and fails the test when nothing was chosen.
-func place(t *testing.T, p *Pool, w *Work, now time.Time) *Placement {
+func place(t *testing.T, p *Pool, w *Request, now time.Time) *Placement {
 	t.Helper()
 	c := p.Place(w, now)
 	if c.Placement == nil {
@@ -56,7 +56,7 @@
 		if pl.Server.ID == "s0" || pl.Server.ID == "s1" && counts["s1"]%20 == 0 {
 			outcome = OutcomeFailed
 		}
-		p.FirstByte(pl, now.Add(5*time.Millisecond))
+		p.RecordFirstByte(pl, now.Add(5*time.Millisecond))
 		p.Done(pl, outcome, now.Add(6*time.Millisecond))
 	}
 	if counts["s0"] > 20 || counts["s1"] < 100 {
@@ -101,7 +101,7 @@
 	cold[0].ColdUntil = start.Add(3 * time.Second)
 	for _, owner := range []bool{true, false} {
 		p := New()
-		p.Update(Settings{Engine: true, Slots: 64, CacheTokens: 200_000, ColdRate: 2.6, ColdOwner: func(string) bool { return owner }}, cold)
+		p.Update(Settings{Engine: true, Slots: 64, CacheTokens: 200_000, ColdRate: 2.6, OwnsColdServer: func(string) bool { return owner }}, cold)
 		var sent []time.Time
 		for at := start; at.Before(cold[0].ColdUntil); at = at.Add(10 * time.Millisecond) {
 			w := prompt(1, 10)
@@ -132,12 +132,12 @@
 // cached parts; where they do not, it waits for its turn as long as that is faster.
 func TestFetchFromTheHolder(t *testing.T) {
 	p := New()
-	p.Update(Settings{Engine: true, Slots: 8, CacheTokens: 200_000, FetchTime: 2e-6}, entries(2))
+	p.Update(Settings{Engine: true, Slots: 8, CacheTokens: 200_000, FetchSecondsPerToken: 2e-6}, entries(2))
 	first := place(t, p, prompt(7, 100), start)
-	p.FirstByte(first, start.Add(time.Millisecond))
+	p.RecordFirstByte(first, start.Add(time.Millisecond))
 	p.Done(first, OutcomeServed, start.Add(time.Millisecond))
-	busy := Digest{Servers: []ServerLoad{{Server: uint32(first.server.hash), Pending: 40_000, InFlight: 1}}}
-	p.Absorb("other", &busy, start)
+	busy := LoadReport{Servers: []ServerLoad{{Server: uint32(first.server.hash), PendingTokens: 40_000, InFlight: 1}}}
+	p.ApplyReport("other", &busy, start)
 	c := p.Place(prompt(7, 100), start.Add(2*time.Millisecond))
 	if c.Placement == nil || c.Placement.Server.ID == first.Server.ID || c.FetchFrom != first.Server.Address {
 		t.Errorf("%+v", c)
@@ -149,10 +149,10 @@
 // about how long the backlog lasts. One that is late only by its own length is served.
 func TestBacklog(t *testing.T) {
 	p := engines(1)
-	d := Digest{Servers: []ServerLoad{{Server: uint32(p.servers[0].hash), Pending: 120_000, Urgent: 0, InFlight: 4}}}
-	p.Absorb("other", &d, start)
+	d := LoadReport{Servers: []ServerLoad{{Server: uint32(p.servers[0].hash), PendingTokens: 120_000, UrgentTokens: 0, InFlight: 4}}}
+	p.ApplyReport("other", &d, start)
 	w := prompt(1, 100)
-	w.OnTime = true
+	w.RejectIfLate = true
 	if c := p.Place(w, start); c.Placement != nil || c.RetryAfter < time.Second || c.RetryAfter > 4*time.Second {
 		t.Errorf("behind three seconds of prompts: %+v", c)
 	}
@@ -171,17 +171,17 @@
 // not count, and what an instance does not name any more is gone.
 func TestDigestsFade(t *testing.T) {
 	p := engines(1)
-	d := Digest{Servers: []ServerLoad{{Server: uint32(p.servers[0].hash), Pending: 120_000, InFlight: 8}}}
-	p.Absorb("other", &d, start)
-	if _, ok := p.Expected(prompt(1, 100), start); ok {
+	d := LoadReport{Servers: []ServerLoad{{Server: uint32(p.servers[0].hash), PendingTokens: 120_000, InFlight: 8}}}
+	p.ApplyReport("other", &d, start)
+	if _, ok := p.ExpectedFirstByte(prompt(1, 100), start); ok {
 		t.Error("a full server can be used")
 	}
-	if took, ok := p.Expected(prompt(1, 100), start.Add(peerFresh+time.Millisecond)); !ok || took > time.Second {
+	if took, ok := p.ExpectedFirstByte(prompt(1, 100), start.Add(peerFresh+time.Millisecond)); !ok || took > time.Second {
 		t.Errorf("an old digest still counts: %s, %t", took, ok)
 	}
-	p.Absorb("other", &d, start)
-	p.Absorb("other", &Digest{}, start)
-	if took, ok := p.Expected(prompt(1, 100), start); !ok || took > time.Second {
+	p.ApplyReport("other", &d, start)
+	p.ApplyReport("other", &LoadReport{}, start)
+	if took, ok := p.ExpectedFirstByte(prompt(1, 100), start); !ok || took > time.Second {
 		t.Errorf("what is not named any more still counts: %s, %t", took, ok)
 	}
 }
@@ -198,7 +198,7 @@
 		p.servers[0].addPending(0, c.ahead)
 		got := p.Place(prompt(7, 50_000), start)
 		if taken := got.Placement != nil; taken != c.taken || taken && !got.Late {
-			t.Errorf("%v tokens ahead: taken %v, late %v, %v expected", c.ahead, taken, got.Late, got.Expected)
+			t.Errorf("%v tokens ahead: taken %v, late %v, %v expected", c.ahead, taken, got.Late, got.ExpectedFirstByte)
 		}
 	}
 }
--- a/coordination/placement/plain_test.go
+++ b/coordination/placement/plain_test.go
@@ -14,12 +14,12 @@
 	e[0].Slots = 6
 	p.Update(Settings{Slots: 6}, e)
 	now := start
-	order := func() *Work {
-		return &Work{Urgency: 1, Objective: 500 * time.Millisecond, Arrived: now, Deadline: now.Add(3 * time.Second)}
+	order := func() *Request {
+		return &Request{Urgency: 1, Objective: 500 * time.Millisecond, Arrived: now, Deadline: now.Add(3 * time.Second)}
 	}
 	answer := func(took time.Duration) {
 		pl := place(t, p, order(), now)
-		p.FirstByte(pl, now.Add(took))
+		p.RecordFirstByte(pl, now.Add(took))
 		p.Done(pl, OutcomeServed, now.Add(took))
 		now = now.Add(took)
 	}
@@ -29,7 +29,7 @@
 	answer(time.Second)
 	for range 20 {
 		if c := p.Place(order(), now); c.Placement == nil {
-			t.Fatalf("refused with %s, %v expected, %d running", c.Reason, c.Expected, c.Running)
+			t.Fatalf("refused with %s, %v expected, %d running", c.Reason, c.ExpectedFirstByte, c.Running)
 		} else {
 			p.Done(c.Placement, OutcomeServed, now.Add(30*time.Millisecond))
 		}
@@ -44,12 +44,12 @@
 	e := entries(1)
 	e[0].Slots = 6
 	p.Update(Settings{Slots: 6}, e)
-	w := &Work{Urgency: 1, Objective: 500 * time.Millisecond, Arrived: start, Deadline: start.Add(3 * time.Second)}
+	w := &Request{Urgency: 1, Objective: 500 * time.Millisecond, Arrived: start, Deadline: start.Add(3 * time.Second)}
 	pl := place(t, p, w, start)
 	p.servers[0].inFlight = 8
-	p.FirstByte(pl, start.Add(time.Second))
+	p.RecordFirstByte(pl, start.Add(time.Second))
 	w.Arrived, w.Deadline = start.Add(time.Second), start.Add(4*time.Second)
 	if c := p.Place(w, start.Add(time.Second)); c.Placement != nil {
-		t.Errorf("taken, %v expected", c.Expected)
+		t.Errorf("taken, %v expected", c.ExpectedFirstByte)
 	}
 }
--- a/coordination/placement/replay_test.go
+++ b/coordination/placement/replay_test.go
@@ -30,7 +30,7 @@
 
 type arrival struct {
 	at       time.Time
-	work     Work
+	work     Request
 	instance int
 	long     bool
 }
@@ -47,21 +47,21 @@
 		}
 	}
 	own := uint64(1 << 40)
-	part := func(id uint64, tokens int) Part { return Part{ID: id, Tokens: tokens} }
+	part := func(id uint64, tokens int) PromptSegment { return PromptSegment{ID: id, Tokens: tokens} }
 	ownTokens := func(mean float64) int { return int(min(mean*rng.ExpFloat64(), 8*mean)) + 1 }
 	add(longPerSecond, func(at time.Time) arrival {
 		own++
 		subject := uint64(math.Pow(rng.Float64(), 1.4) * 64)
-		parts := []Part{part(1+subject%4, 2520), part(100+subject, 3780), part(own, ownTokens(2890))}
-		return arrival{at: at, long: true, work: Work{
-			Parts: parts, Tokens: total(parts), Urgency: 1, Objective: longObjective, Deadline: at.Add(5 * time.Second),
+		parts := []PromptSegment{part(1+subject%4, 2520), part(100+subject, 3780), part(own, ownTokens(2890))}
+		return arrival{at: at, long: true, work: Request{
+			Segments: parts, Tokens: total(parts), Urgency: 1, Objective: longObjective, Deadline: at.Add(5 * time.Second),
 		}}
 	})
 	add(shortPerSecond, func(at time.Time) arrival {
 		own++
-		parts := []Part{part(1000+rng.Uint64N(20), 119), part(2000+rng.Uint64N(253), 79), part(own, ownTokens(628))}
-		return arrival{at: at, work: Work{
-			Parts: parts, Tokens: total(parts), Objective: shortObjective, Deadline: at.Add(15 * time.Second),
+		parts := []PromptSegment{part(1000+rng.Uint64N(20), 119), part(2000+rng.Uint64N(253), 79), part(own, ownTokens(628))}
+		return arrival{at: at, work: Request{
+			Segments: parts, Tokens: total(parts), Objective: shortObjective, Deadline: at.Add(15 * time.Second),
 		}}
 	})
 	sortArrivals(out)
@@ -76,7 +76,7 @@
 	}
 }
 
-func total(parts []Part) int {
+func total(parts []PromptSegment) int {
 	n := 0
 	for _, p := range parts {
 		n += p.Tokens
@@ -97,15 +97,15 @@
 
 // run returns when the first byte comes.
 func (e *engineModel) run(a *arrival, seen map[uint64]bool) time.Time {
-	unread := a.work.Tokens - e.cache.match(a.work.Parts)
-	for i, p := range a.work.Parts[:len(a.work.Parts)-1] {
-		if e.cache.match(a.work.Parts[:i+1]) < total(a.work.Parts[:i+1]) && seen[p.ID] {
+	unread := a.work.Tokens - e.cache.match(a.work.Segments)
+	for i, p := range a.work.Segments[:len(a.work.Segments)-1] {
+		if e.cache.match(a.work.Segments[:i+1]) < total(a.work.Segments[:i+1]) && seen[p.ID] {
 			e.again += p.Tokens
 		}
 		seen[p.ID] = true
 	}
 	e.read += unread
-	e.cache.touch(a.work.Parts[:len(a.work.Parts)-1], replayMemory)
+	e.cache.touch(a.work.Segments[:len(a.work.Segments)-1], replayMemory)
 	took := seconds(float64(unread) / replayRate)
 	if !a.long {
 		e.short = later(e.short, a.at).Add(took)
@@ -196,10 +196,10 @@
 	for ; !p.cast.After(a.at); p.cast = p.cast.Add(castEvery) {
 		p.settle(p.cast)
 		for i, from := range p.pools {
-			d := from.Digest()
+			d := from.LoadReport()
 			for j, to := range p.pools {
 				if i != j {
-					to.Absorb(fmt.Sprint(i), &d, p.cast)
+					to.ApplyReport(fmt.Sprint(i), &d, p.cast)
 				}
 			}
 		}
@@ -223,7 +223,7 @@
 			kept = append(kept, o)
 			continue
 		}
-		o.pool.FirstByte(o.p, o.first)
+		o.pool.RecordFirstByte(o.p, o.first)
 		o.pool.Done(o.p, OutcomeServed, o.first)
 	}
 	p.open = kept
--- a/coordination/placement/server.go
+++ b/coordination/placement/server.go
@@ -109,8 +109,8 @@
 	return now.Sub(s.probedAt) >= probeEvery && now.Sub(s.asideUntil.Add(-s.asideFor)) >= minAside/2
 }
 
-// Load is what a server said of its load in an answer.
-type Load struct{ Running, Waiting, Slots int }
+// ReportedLoad is what a server said of its load in an answer.
+type ReportedLoad struct{ Running, Waiting, Slots int }
 
 // Outcome says how a request ended at its server.
 type Outcome int
@@ -125,8 +125,8 @@
 	OutcomeCancelled         // given up here: says nothing of the server
 )
 
-// Reported takes in the load that a server gave with an answer.
-func (p *Pool) Reported(pl *Placement, l Load, now time.Time) {
+// RecordLoad takes in the load that a server gave with an answer.
+func (p *Pool) RecordLoad(pl *Placement, l ReportedLoad, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := pl.server
@@ -138,8 +138,8 @@
 	}
 }
 
-// FirstByte takes in that the answer has begun.
-func (p *Pool) FirstByte(pl *Placement, now time.Time) {
+// RecordFirstByte takes in that the answer has begun.
+func (p *Pool) RecordFirstByte(pl *Placement, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.firstByte(pl, now)
@@ -269,21 +269,21 @@
 
 // Summary is what other regions are told of a service's servers here.
 type Summary struct {
-	Servers  int
-	Running  int           // requests that the servers have, of all instances
-	Room     int           // requests that could start at once
-	Expected time.Duration // to the first byte of a prompt of ordinary size
-	Slowed   float64       // part of the servers' time that does not go into running answers
+	Servers           int
+	Running           int           // requests that the servers have, of all instances
+	FreeSlots         int           // requests that could start at once
+	ExpectedFirstByte time.Duration // to the first byte of a prompt of ordinary size
+	StallFraction     float64       // part of the servers' time that does not go into running answers
 }
 
 // summaryTokens is the size of the prompt that a summary speaks of, in tokens that
 // have to be read: a shared prompt of the first deployments with its own part.
 const summaryTokens = 4000
 
-// BeyondSummary is how much longer than a summary says the request should take in
+// ExtraPrefillTime is how much longer than a summary says the request should take in
 // another region. Without it a prompt that is late for its own length looks on time far
 // away, is sent there, and is later still. Of the shared parts most are held there too.
-func BeyondSummary(w *Work) time.Duration {
+func ExtraPrefillTime(w *Request) time.Duration {
 	unread := float64(w.Tokens) - unreadAbroad*float64(w.shared())
 	return seconds(max(unread-summaryTokens, 0) / defaultReadRate)
 }
@@ -295,12 +295,12 @@
 func (p *Pool) Summarize(now time.Time) Summary {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := Work{Tokens: summaryTokens, Urgency: urgencies - 1, Arrived: now}
+	w := Request{Tokens: summaryTokens, Urgency: urgencies - 1, Arrived: now}
 	best, c := p.choose(&w, now)
 	running, slots := p.occupancy(now)
-	out := Summary{Servers: c.usable, Running: int(running), Room: int(max(slots-running, 0)), Slowed: p.allSlowed(now)}
+	out := Summary{Servers: c.usable, Running: int(running), FreeSlots: int(max(slots-running, 0)), StallFraction: p.allSlowed(now)}
 	if best != nil {
-		out.Expected = seconds(best.expected)
+		out.ExpectedFirstByte = seconds(best.expected)
 	}
 	return out
 }
@@ -354,8 +354,8 @@
 	return out
 }
 
-// Down takes in that nothing listens at the server of a placement.
-func (p *Pool) Down(pl *Placement, now time.Time) {
+// RecordDown takes in that nothing listens at the server of a placement.
+func (p *Pool) RecordDown(pl *Placement, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pl.server.judge(OutcomeDown, p.settings.Engine, now)
--- a/coordination/prefix/prefix.go
+++ b/coordination/prefix/prefix.go
@@ -33,8 +33,8 @@
 	blocks [MaxServers]uint16
 }
 
-// Of returns the cached blocks of the server with a slot.
-func (m *Matches) Of(slot int) int {
+// CachedBlocks returns the cached blocks of the server with a slot.
+func (m *Matches) CachedBlocks(slot int) int {
 	if slot < 0 || slot >= MaxServers {
 		return 0
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// Dispatched notes that a server got the prompt and will hold its blocks.
-func (x *Index) Dispatched(slot int, home string, blocks []tokens.Block) {
+// RecordDispatch notes that a server got the prompt and will hold its blocks.
+func (x *Index) RecordDispatch(slot int, home string, blocks []tokens.Block) {
 	if slot < 0 || slot >= MaxServers || (home != "" && home != x.region) {
 		return
 	}
@@ -200,8 +200,8 @@
 	}
 }
 
-// After returns the number of the last event that was taken in.
-func (x *Index) After(slot int) int64 {
+// LastSeq returns the number of the last event that was taken in.
+func (x *Index) LastSeq(slot int) int64 {
 	if slot < 0 || slot >= MaxServers {
 		return 0
 	}
@@ -210,9 +210,9 @@
 	return x.servers[slot].lastSeq
 }
 
-// Booted notes the boot id of the server with a slot. Another one than before
+// SetBootID notes the boot id of the server with a slot. Another one than before
 // means an empty cache, be it a restart or another server.
-func (x *Index) Booted(slot int, bootID string) {
+func (x *Index) SetBootID(slot int, bootID string) {
 	if slot < 0 || slot >= MaxServers {
 		return
 	}
--- a/coordination/prefix/prefix_test.go
+++ b/coordination/prefix/prefix_test.go
@@ -11,7 +11,7 @@
 func matched(x *Index, slot int, home string, blocks ...tokens.Block) int {
 	var m Matches
 	x.Match(blocks, home, &m)
-	return m.Of(slot)
+	return m.CachedBlocks(slot)
 }
 
 // The server evicts blocks, the events of it are lost, and only later ones come.
@@ -19,7 +19,7 @@
 // the oldest blocks, which the lost events may have been about.
 func TestGapDropsWhatItMayHaveTouched(t *testing.T) {
 	x := New("suva-a")
-	x.Booted(0, "boot")
+	x.SetBootID(0, "boot")
 	x.Apply(0, []Event{{Seq: 1, Block: 1}, {Seq: 2, Block: 2}, {Seq: 3, Block: 30}, {Seq: 4, Block: 31}})
 	if got := matched(x, 0, "", 1, 2); got != 2 {
 		t.Fatalf("%d of 2 blocks known", got)
@@ -36,12 +36,12 @@
 // A server restarts with an empty cache and numbers its events from one again.
 func TestRestartEmptiesTheIndex(t *testing.T) {
 	x := New("suva-a")
-	x.Booted(0, "first")
-	x.Dispatched(0, "", []tokens.Block{1, 2})
+	x.SetBootID(0, "first")
+	x.RecordDispatch(0, "", []tokens.Block{1, 2})
 	x.Apply(0, []Event{{Seq: 1, Block: 1}, {Seq: 9, Block: 5}})
-	x.Booted(0, "second")
-	if got := matched(x, 0, "", 1, 2); got != 0 || x.After(0) != 0 {
-		t.Errorf("%d blocks believed cached, events awaited after %d", got, x.After(0))
+	x.SetBootID(0, "second")
+	if got := matched(x, 0, "", 1, 2); got != 0 || x.LastSeq(0) != 0 {
+		t.Errorf("%d blocks believed cached, events awaited after %d", got, x.LastSeq(0))
 	}
 }
 
@@ -73,7 +73,7 @@
 			blocks := draw()
 			if rapid.Bool().Draw(t, "event") {
 				var events []Event
-				seq := x.After(slot)
+				seq := x.LastSeq(slot)
 				for _, b := range blocks {
 					seq += int64(rapid.IntRange(1, 3).Draw(t, "gap"))
 					e := Event{Seq: seq, Block: b, Evicted: rapid.Bool().Draw(t, "evicted")}
@@ -85,7 +85,7 @@
 				x.Apply(slot, events)
 				continue
 			}
-			x.Dispatched(slot, home, blocks)
+			x.RecordDispatch(slot, home, blocks)
 			if home != "labasa-a" {
 				note(slot, blocks...)
 			}
@@ -98,7 +98,7 @@
 		}
 		x.Match(asked, "", &m)
 		for slot := range MaxServers {
-			for _, b := range asked[:m.Of(slot)] {
+			for _, b := range asked[:m.CachedBlocks(slot)] {
 				if !told[slot][b] {
 					t.Fatalf("slot %d: block %d was never there", slot, b)
 				}
--- a/coordination/routing/domain.go
+++ b/coordination/routing/domain.go
@@ -181,21 +181,21 @@
 }
 
 func (t *Router) hasRoom(r *Request, d *Domain) bool {
-	return r.queue(d).HasRoom && t.roomLeft(r, d)
+	return r.queue(d).AcceptsRemote && t.roomLeft(r, d)
 }
 
 // roomLeft counts what this instance sent since the domain's report: a report is
 // a second old, and a burst would otherwise go to one place as a whole.
 func (t *Router) roomLeft(r *Request, d *Domain) bool {
 	s := t.sent[sentKey{r.Service.Name, d.PeerID, r.Bulk}]
-	return s.report != d.Report || s.count < max(r.queue(d).Room/roomShare, 1)
+	return s.report != d.ReportSeq || s.count < max(r.queue(d).FreeSlots/roomShare, 1)
 }
 
 func (t *Router) count(r *Request, d *Domain) {
 	key := sentKey{r.Service.Name, d.PeerID, r.Bulk}
 	s := t.sent[key]
-	if s.report != d.Report {
-		s = sent{report: d.Report}
+	if s.report != d.ReportSeq {
+		s = sent{report: d.ReportSeq}
 	}
 	s.count++
 	t.sent[key] = s
--- a/coordination/routing/outlier.go
+++ b/coordination/routing/outlier.go
@@ -18,18 +18,18 @@
 	maxEjectDouble = 4
 )
 
-// Failed takes in a failed request and sets the server aside when it is one of
+// RecordFailure takes in a failed request and sets the server aside when it is one of
 // several in a row. It tells whether it did.
-func Failed(table *servers.Table, e *servers.Entry, now time.Time) bool {
+func RecordFailure(table *servers.Table, e *servers.Entry, now time.Time) bool {
 	if e.RecordError() < errorLimit {
 		return false
 	}
 	return eject(table, e.View(), now)
 }
 
-// Answered takes in an answer: the time to the first token, the one that was
+// RecordResponse takes in an answer: the time to the first token, the one that was
 // expected of it, and how long the request lasted.
-func Answered(e *servers.Entry, latency, expected, duration time.Duration) {
+func RecordResponse(e *servers.Entry, latency, expected, duration time.Duration) {
 	e.RecordSuccess()
 	v := e.View()
 	mean := v.MeanDuration + time.Duration(sampleWeight*float64(duration-v.MeanDuration))
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -19,10 +19,10 @@
 type Domain struct {
 	Name        string
 	Region      string
-	Peer        string // peer address of the instance to forward to; empty for the own domain
+	PeerAddress string // peer address of the instance to forward to; empty for the own domain
 	PeerID      string
 	PeerHash    uint64 // of PeerID
-	Report      uint64 // number of the report that the load is from
+	ReportSeq   uint64 // number of the report that the load is from
 	Servers     int
 	InFlight    int
 	LinkDelay   time.Duration // one way
@@ -32,9 +32,9 @@
 
 // Queue is how a class of requests stands in a failure domain.
 type Queue struct {
-	ExpectedWait time.Duration
-	HasRoom      bool
-	Room         int // requests that it can start at once
+	ExpectedWait  time.Duration
+	AcceptsRemote bool
+	FreeSlots     int // requests that it can start at once
 }
 
 // queue returns the queue that the request would join.
@@ -49,17 +49,17 @@
 type Request struct {
 	Service      *service.Service
 	Account      uint64 // hash of the account's name
-	Home         string // region the account's data must stay in; anywhere when empty
+	HomeRegion   string // region the account's data must stay in; anywhere when empty
 	Hop          int
 	Bulk         bool
 	PromptTokens int
-	Cached       *prefix.Matches // cached blocks of the prompt by server; may be nil
+	CachedBlocks *prefix.Matches // cached blocks of the prompt by server; may be nil
 	Exclude      map[string]bool // peers, domains and servers that failed or refused this request
 }
 
 // Allowed tells whether the request may run in the failure domain at all.
 func Allowed(r *Request, region, domain string) bool {
-	if r.Home != "" && r.Home != region {
+	if r.HomeRegion != "" && r.HomeRegion != region {
 		return false
 	}
 	return r.Service.AllowsDomain(region, domain)
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -63,9 +63,9 @@
 	r := request()
 	index := prefix.New("suva-a")
 	blocks := tokens.AppendBlocks(nil, string(make([]byte, 4000*4)))
-	index.Dispatched(table.Entry(model, "s002").Slot(), "", blocks)
-	r.Cached = &prefix.Matches{}
-	index.Match(blocks, "", r.Cached)
+	index.RecordDispatch(table.Entry(model, "s002").Slot(), "", blocks)
+	r.CachedBlocks = &prefix.Matches{}
+	index.Match(blocks, "", r.CachedBlocks)
 	if got := chosen(r, table, start)["s002"]; got != 1000 {
 		t.Errorf("the server with the cached prompt was chosen %d of 1000 times", got)
 	}
@@ -85,7 +85,7 @@
 	now := start
 	for _, id := range []string{"s000", "s001", "s002", "s003", "s004"} {
 		for range errorLimit {
-			Failed(table, table.Entry(model, id), now)
+			RecordFailure(table, table.Entry(model, id), now)
 		}
 	}
 	counts := chosen(request(), table, now)
@@ -123,13 +123,13 @@
 
 func far(peer string, wait time.Duration, room bool) Domain {
 	return Domain{
-		Name: "labasa-a-1", Region: "labasa-a", Peer: "192.0.2.1:1", PeerID: peer, Report: 1,
-		Servers: 3, LinkDelay: 80 * time.Millisecond, Interactive: Queue{HasRoom: room, Room: 100, ExpectedWait: wait},
+		Name: "labasa-a-1", Region: "labasa-a", PeerAddress: "192.0.2.1:1", PeerID: peer, ReportSeq: 1,
+		Servers: 3, LinkDelay: 80 * time.Millisecond, Interactive: Queue{AcceptsRemote: room, FreeSlots: 100, ExpectedWait: wait},
 	}
 }
 
 func near(wait time.Duration) *Domain {
-	return &Domain{Name: "suva-a-1", Region: "suva-a", Servers: 3, Interactive: Queue{HasRoom: true, ExpectedWait: wait}}
+	return &Domain{Name: "suva-a-1", Region: "suva-a", Servers: 3, Interactive: Queue{AcceptsRemote: true, ExpectedWait: wait}}
 }
 
 // Requests leave the region when that wins more than the setting, and then go on
@@ -159,7 +159,7 @@
 	}
 	sent := 0
 	burst := far("q", 0, true)
-	burst.Report, burst.Interactive.Room = 2, 40
+	burst.ReportSeq, burst.Interactive.FreeSlots = 2, 40
 	for range 100 {
 		if spills(5*time.Second, burst) {
 			sent++
@@ -197,7 +197,7 @@
 	var others []Domain
 	for i := range 4 {
 		d := far(fmt.Sprint("p", i), 0, true)
-		d.PeerHash, d.Interactive.Room = uint64(i+1)*0x9e3779b97f4a7c15, 1<<20
+		d.PeerHash, d.Interactive.FreeSlots = uint64(i+1)*0x9e3779b97f4a7c15, 1<<20
 		others = append(others, d)
 	}
 	used := make(map[string]int)
@@ -225,17 +225,17 @@
 		regions := []string{"suva-a", "labasa-a", "lakeba-a"}
 		region := func(label string) string { return rapid.SampledFrom(regions).Draw(t, label) }
 		r := request()
-		r.Home = rapid.SampledFrom(append([]string{""}, regions...)).Draw(t, "home")
+		r.HomeRegion = rapid.SampledFrom(append([]string{""}, regions...)).Draw(t, "home")
 		r.Hop = rapid.IntRange(0, MaxHops).Draw(t, "hop")
 		r.Service.Regions = rapid.SliceOfN(rapid.SampledFrom(regions), 0, 2).Draw(t, "regions")
 		r.Service.Spill.Disabled = rapid.Bool().Draw(t, "disabled")
-		own := Domain{Name: "own", Region: region("own"), Servers: rapid.IntRange(0, 1).Draw(t, "servers"), Interactive: Queue{HasRoom: true,
+		own := Domain{Name: "own", Region: region("own"), Servers: rapid.IntRange(0, 1).Draw(t, "servers"), Interactive: Queue{AcceptsRemote: true,
 			ExpectedWait: time.Duration(rapid.IntRange(0, 9000).Draw(t, "wait")) * time.Millisecond}}
 		var others []Domain
 		for i := range rapid.IntRange(0, 6).Draw(t, "others") {
 			at := region("region")
-			others = append(others, Domain{Name: at + "-1", Region: at, PeerID: fmt.Sprint(i), Peer: "x",
-				Servers: 1, Interactive: Queue{HasRoom: rapid.Bool().Draw(t, "room"), Room: 8}})
+			others = append(others, Domain{Name: at + "-1", Region: at, PeerID: fmt.Sprint(i), PeerAddress: "x",
+				Servers: 1, Interactive: Queue{AcceptsRemote: rapid.Bool().Draw(t, "room"), FreeSlots: 8}})
 		}
 		router := NewRouter(own.Region, own.Name)
 		for _, d := range []*Domain{router.ChooseDomain(r, &own, others), Designate(r, 7, &own, others)} {
@@ -245,8 +245,8 @@
 			if d.Region != own.Region && r.Service.Spill.Disabled {
 				t.Fatalf("left the region although the service's document forbids it")
 			}
-			if r.Home != "" && d.Region != r.Home {
-				t.Fatalf("home %s, sent to %s", r.Home, d.Region)
+			if r.HomeRegion != "" && d.Region != r.HomeRegion {
+				t.Fatalf("home %s, sent to %s", r.HomeRegion, d.Region)
 			}
 			if !r.Service.AllowsRegion(d.Region) {
 				t.Fatalf("the service may not run in %s", d.Region)
@@ -268,13 +268,13 @@
 			index := prefix.New("suva-a")
 			blocks := tokens.AppendBlocks(nil, string(make([]byte, 4000*4)))
 			for i := 0; i < n; i += 7 {
-				index.Dispatched(table.Entry(model, fmt.Sprintf("s%03d", i)).Slot(), "", blocks[:20])
+				index.RecordDispatch(table.Entry(model, fmt.Sprintf("s%03d", i)).Slot(), "", blocks[:20])
 			}
-			r.Cached = &prefix.Matches{}
+			r.CachedBlocks = &prefix.Matches{}
 			random := rng()
 			b.ReportAllocs()
 			for b.Loop() {
-				index.Match(blocks, "", r.Cached)
+				index.Match(blocks, "", r.CachedBlocks)
 				ChooseServer(r, table.Entries(model), start, random)
 			}
 		})
--- a/coordination/routing/server.go
+++ b/coordination/routing/server.go
@@ -110,17 +110,17 @@
 	return r.Service.AllowsVersion(v.Version) && Allowed(r, v.Region, v.Domain)
 }
 
-// Expected is the time to the first token that a server should need for the
+// ExpectedFirstToken is the time to the first token that a server should need for the
 // request, by its reports alone.
-func Expected(r *Request, e *servers.Entry, now time.Time) time.Duration {
+func ExpectedFirstToken(r *Request, e *servers.Entry, now time.Time) time.Duration {
 	s := scorer{request: r, now: now.UnixNano()}
 	return time.Duration(s.expected(e, e.View().Facts()) * float64(time.Second))
 }
 
-// Alone is the time to the first token without the requests ahead of it.
-func Alone(r *Request, e *servers.Entry) time.Duration {
+// UnloadedFirstToken is the time to the first token without the requests ahead of it.
+func UnloadedFirstToken(r *Request, e *servers.Entry) time.Duration {
 	f := e.View().Facts()
-	seconds := float64(r.Uncached(e))/prefillRate(f) + f.StepTime
+	seconds := float64(r.UncachedTokens(e))/prefillRate(f) + f.StepTime
 	return time.Duration(seconds * float64(time.Second))
 }
 
@@ -133,7 +133,7 @@
 
 func (s *scorer) expected(e *servers.Entry, f *servers.Facts) float64 {
 	fade := fadeAfter / (fadeAfter + max(float64(s.now-f.ReportedAt), 0))
-	tokens := fade*f.WaitingTokens + float64(e.PendingTokens()+s.request.Uncached(e))
+	tokens := fade*f.WaitingTokens + float64(e.PendingTokens()+s.request.UncachedTokens(e))
 	requests := fade*f.OtherRequests + float64(e.InFlight())
 	return tokens/prefillRate(f) + requests*perRequest + fade*f.QueueDrainTime + f.StepTime
 }
@@ -146,19 +146,19 @@
 		weight = costPrefillFactor
 	}
 	cost := s.expected(e, f) * f.LatencyFactor
-	cost += (weight - 1) * float64(s.request.Uncached(e)) / prefillRate(f)
+	cost += (weight - 1) * float64(s.request.UncachedTokens(e)) / prefillRate(f)
 	if up := float64(s.now - f.Since); up < warmUp {
 		cost += warmUpPenalty * (1 - up/warmUp)
 	}
 	return cost
 }
 
-// Uncached returns the prompt tokens that the server would have to compute.
-func (r *Request) Uncached(e *servers.Entry) int {
-	if r.Cached == nil {
+// UncachedTokens returns the prompt tokens that the server would have to compute.
+func (r *Request) UncachedTokens(e *servers.Entry) int {
+	if r.CachedBlocks == nil {
 		return r.PromptTokens
 	}
-	cached := r.Cached.Of(e.Slot()) * tokens.BlockTokens
+	cached := r.CachedBlocks.CachedBlocks(e.Slot()) * tokens.BlockTokens
 	return max(r.PromptTokens-cached, 0)
 }
 
--- a/coordination/spill/slow_test.go
+++ b/coordination/spill/slow_test.go
@@ -66,7 +66,7 @@
 }
 
 func (e *slowEngine) occupancy() Occupancy {
-	return Occupancy{Running: float64(len(e.answers)), Slots: slowSlots, Slowed: max(1-slowStep/e.pace, 0)}
+	return Occupancy{Running: float64(len(e.answers)), Slots: slowSlots, StallFraction: max(1-slowStep/e.pace, 0)}
 }
 
 func slowReplay(seed uint64, early func(own Occupancy, others []Region, draw float64) int) (ended, late int) {
@@ -82,7 +82,7 @@
 		}
 		if rng.Float64() < slowHome*slowTick.Seconds() {
 			region := home
-			if early(home.occupancy(), []Region{{Occupancy: word, Arrives: 300 * time.Millisecond}}, rng.Float64()) == 0 {
+			if early(home.occupancy(), []Region{{Occupancy: word, ExpectedFirstByte: 300 * time.Millisecond}}, rng.Float64()) == 0 {
 				region = far
 			}
 			region.take(now, rng)
@@ -102,11 +102,11 @@
 func TestReplayOfARegionThatReadsMuch(t *testing.T) {
 	for seed := range uint64(4) {
 		ended, late := slowReplay(seed, func(own Occupancy, others []Region, draw float64) int {
-			return Early(own, others, time.Second, draw)
+			return ChooseRegion(own, others, time.Second, draw)
 		})
 		endedByRoom, lateByRoom := slowReplay(seed, func(own Occupancy, others []Region, draw float64) int {
-			own.Slowed = 0
-			return Early(own, others, time.Second, draw)
+			own.StallFraction = 0
+			return ChooseRegion(own, others, time.Second, draw)
 		})
 		t.Logf("seed %d: %d of %d late, by room only %d of %d", seed, late, ended, lateByRoom, endedByRoom)
 		if 20*late > ended {
@@ -121,9 +121,9 @@
 // Both regions read for most of their time. Requests that crossed would find the same pace
 // there and have lost the way.
 func TestSlowRegionsSendEachOtherNothing(t *testing.T) {
-	own := Occupancy{Running: 100, Slots: 320, Slowed: 0.8}
-	others := []Region{{Occupancy: Occupancy{Running: 50, Slots: 320, Slowed: 0.75}, Arrives: 200 * time.Millisecond}}
-	if got := Early(own, others, time.Second, 0); got != -1 {
+	own := Occupancy{Running: 100, Slots: 320, StallFraction: 0.8}
+	others := []Region{{Occupancy: Occupancy{Running: 50, Slots: 320, StallFraction: 0.75}, ExpectedFirstByte: 200 * time.Millisecond}}
+	if got := ChooseRegion(own, others, time.Second, 0); got != -1 {
 		t.Errorf("goes to region %d", got)
 	}
 }
--- a/coordination/spill/spill.go
+++ b/coordination/spill/spill.go
@@ -25,10 +25,10 @@
 import "time"
 
 const (
-	// From is the occupancy of the own region at which requests begin to leave. Below
+	// StartOccupancy is the occupancy of the own region at which requests begin to leave. Below
 	// it bursts of a second find room at home, and crossing costs every request the way
 	// there and back.
-	From = 0.7
+	StartOccupancy = 0.7
 	// to is the occupancy at which all leave that may: with less room left some servers
 	// are full already, since prompts that share parts belong together.
 	to = 0.95
@@ -51,13 +51,13 @@
 
 // Occupancy is how full and how slow the servers of a region are.
 type Occupancy struct {
-	Running float64 // requests
-	Slots   float64 // requests that the servers are sent at most
-	Slowed  float64 // part of the servers' time that does not go into running answers
+	Running       float64 // requests
+	Slots         float64 // requests that the servers are sent at most
+	StallFraction float64 // part of the servers' time that does not go into running answers
 }
 
-// Share returns the part of the slots that is taken; 1 where there are none.
-func (o Occupancy) Share() float64 {
+// Utilization returns the part of the slots that is taken; 1 where there are none.
+func (o Occupancy) Utilization() float64 {
 	if o.Slots <= 0 {
 		return 1
 	}
@@ -66,31 +66,33 @@
 
 // byRoom and bySpeed return the part of the requests that should leave a region for want
 // of slots and of speed.
-func (o Occupancy) byRoom() float64  { return (o.Share() - From) / (to - From) }
-func (o Occupancy) bySpeed() float64 { return (o.Slowed - slowedFrom) / (slowedTo - slowedFrom) }
+func (o Occupancy) byRoom() float64 {
+	return (o.Utilization() - StartOccupancy) / (to - StartOccupancy)
+}
+func (o Occupancy) bySpeed() float64 { return (o.StallFraction - slowedFrom) / (slowedTo - slowedFrom) }
 
-// Leaves tells whether any request should leave the region.
-func (o Occupancy) Leaves() bool { return o.byRoom() > 0 || o.bySpeed() > 0 }
+// ShouldSpill tells whether any request should leave the region.
+func (o Occupancy) ShouldSpill() bool { return o.byRoom() > 0 || o.bySpeed() > 0 }
 
 // Region is another region that may take the request.
 type Region struct {
 	Occupancy
-	Arrives time.Duration // until the first byte by way of it, as expected
+	ExpectedFirstByte time.Duration // until the first byte by way of it, as expected
 }
 
-// Early returns the index of the region to which the request should go now, and -1 when
+// ChooseRegion returns the index of the region to which the request should go now, and -1 when
 // it should stay. left is what is left of its objective, 0 when it has none; draw is
 // uniform in [0,1).
-func Early(own Occupancy, others []Region, left time.Duration, draw float64) int {
+func ChooseRegion(own Occupancy, others []Region, left time.Duration, draw float64) int {
 	byRoom, bySpeed := draw < own.byRoom(), draw < own.bySpeed()
 	best := -1
 	for i := range others {
 		o := &others[i]
-		if left > 0 && o.Arrives > time.Duration(timeShare*float64(left)) {
+		if left > 0 && o.ExpectedFirstByte > time.Duration(timeShare*float64(left)) {
 			continue
 		}
-		better := byRoom && o.Share() <= own.Share()-margin || bySpeed && o.Slowed <= own.Slowed-slowedMargin
-		if !better || o.byRoom() > 0 && o.Share() > own.Share()-margin {
+		better := byRoom && o.Utilization() <= own.Utilization()-margin || bySpeed && o.StallFraction <= own.StallFraction-slowedMargin
+		if !better || o.byRoom() > 0 && o.Utilization() > own.Utilization()-margin {
 			continue // not better, or faster but about to be full itself
 		}
 		if best < 0 || o.load() < others[best].load() {
@@ -101,4 +103,4 @@
 }
 
 // load orders regions by what they lack most.
-func (o Occupancy) load() float64 { return max(o.Share(), o.Slowed) }
+func (o Occupancy) load() float64 { return max(o.Utilization(), o.StallFraction) }
--- a/coordination/spill/spill_test.go
+++ b/coordination/spill/spill_test.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		o.free++
-		others := []Region{{Occupancy: Occupancy{Running: word, Slots: replaySlots}, Arrives: 300 * time.Millisecond}}
+		others := []Region{{Occupancy: Occupancy{Running: word, Slots: replaySlots}, ExpectedFirstByte: 300 * time.Millisecond}}
 		leaves := early(own, others, rng.Float64()) == 0
 		if leaves || own.Running >= own.Slots {
 			o.crossed++
@@ -84,7 +84,7 @@
 func TestReplayOfAPeakBesideAnIdleRegion(t *testing.T) {
 	for seed := range uint64(4) {
 		ours := replay(seed, func(own Occupancy, others []Region, draw float64) int {
-			return Early(own, others, replayObjective, draw)
+			return ChooseRegion(own, others, replayObjective, draw)
 		})
 		whenFull := replay(seed, func(Occupancy, []Region, float64) int { return -1 })
 		t.Logf("seed %d: early %+v, when full %+v", seed, ours, whenFull)
@@ -104,15 +104,15 @@
 // that no request crosses to be refused on the far side.
 func TestFullRegionsSendEachOtherNothing(t *testing.T) {
 	own := Occupancy{Running: 300, Slots: 320}
-	others := []Region{{Occupancy: Occupancy{Running: 250, Slots: 320}, Arrives: 200 * time.Millisecond}}
-	if got := Early(own, others, replayObjective, 0); got != -1 {
+	others := []Region{{Occupancy: Occupancy{Running: 250, Slots: 320}, ExpectedFirstByte: 200 * time.Millisecond}}
+	if got := ChooseRegion(own, others, replayObjective, 0); got != -1 {
 		t.Errorf("goes to region %d", got)
 	}
 }
 
 func TestEarly(t *testing.T) {
-	idle := Region{Occupancy: Occupancy{Running: 10, Slots: 100}, Arrives: 200 * time.Millisecond}
-	slow := Region{Occupancy: Occupancy{Running: 0, Slots: 100}, Arrives: 900 * time.Millisecond}
+	idle := Region{Occupancy: Occupancy{Running: 10, Slots: 100}, ExpectedFirstByte: 200 * time.Millisecond}
+	slow := Region{Occupancy: Occupancy{Running: 0, Slots: 100}, ExpectedFirstByte: 900 * time.Millisecond}
 	for _, c := range []struct {
 		name string
 		own  Occupancy
@@ -128,7 +128,7 @@
 		{"not enough time to cross", Occupancy{Running: 95, Slots: 100}, 220 * time.Millisecond, 0, -1},
 		{"no server at home", Occupancy{}, time.Second, 0.99, 1},
 	} {
-		if got := Early(c.own, []Region{slow, idle}, c.left, c.draw); got != c.want {
+		if got := ChooseRegion(c.own, []Region{slow, idle}, c.left, c.draw); got != c.want {
 			t.Errorf("%s: region %d, want %d", c.name, got, c.want)
 		}
 	}
--- a/experiment/policy_gateway.go
+++ b/experiment/policy_gateway.go
@@ -56,8 +56,8 @@
 		}
 		g.table.Report(g.sim.service.Name, e.id, e.load(now))
 		entry := g.table.Entry(g.sim.service.Name, e.id)
-		g.index.Booted(entry.Slot(), entry.View().Load.BootID)
-		after := g.index.After(entry.Slot())
+		g.index.SetBootID(entry.Slot(), entry.View().Load.BootID)
+		after := g.index.LastSeq(entry.Slot())
 		first := len(e.events)
 		for first > 0 && e.events[first-1].Seq > after {
 			first--
@@ -96,7 +96,7 @@
 func (g *simGateway) publish() {
 	g.report++
 	g.reported = g.domain()
-	g.reported.Report, g.reported.Peer = g.report, g.id
+	g.reported.ReportSeq, g.reported.PeerAddress = g.report, g.id
 }
 
 func (g *simGateway) domain() routing.Domain {
@@ -115,14 +115,14 @@
 }
 
 func simQueue(s admission.ClassStats) routing.Queue {
-	return routing.Queue{ExpectedWait: s.ExpectedWait, HasRoom: s.AcceptsRemote, Room: s.FreeSlots}
+	return routing.Queue{ExpectedWait: s.ExpectedWait, AcceptsRemote: s.AcceptsRemote, FreeSlots: s.FreeSlots}
 }
 
 // place is called when the job has its slot here.
 func (g *simGateway) place(j *job) {
 	list := g.table.Entries(g.sim.service.Name)
-	r := &routing.Request{Service: g.sim.service, Bulk: j.bulk(), PromptTokens: j.prompt, Cached: &prefix.Matches{}}
-	g.index.Match(j.blocks, "", r.Cached)
+	r := &routing.Request{Service: g.sim.service, Bulk: j.bulk(), PromptTokens: j.prompt, CachedBlocks: &prefix.Matches{}}
+	g.index.Match(j.blocks, "", r.CachedBlocks)
 	i := g.choose(r, list)
 	if i < 0 {
 		g.line.release(j)
@@ -131,12 +131,12 @@
 	}
 	j.entry = list[i]
 	now := g.sim.time()
-	j.alone = max(routing.Alone(r, j.entry), minSimExpected)
-	j.expected = max(routing.Expected(r, j.entry, now), minSimExpected)
-	j.uncached = r.Uncached(j.entry)
+	j.alone = max(routing.UnloadedFirstToken(r, j.entry), minSimExpected)
+	j.expected = max(routing.ExpectedFirstToken(r, j.entry, now), minSimExpected)
+	j.uncached = r.UncachedTokens(j.entry)
 	j.sent = now
 	j.entry.Begin(j.uncached, j.bulk())
-	g.index.Dispatched(j.entry.Slot(), "", j.blocks)
+	g.index.RecordDispatch(j.entry.Slot(), "", j.blocks)
 	j.engine = g.region.engines[i]
 	j.engine.enqueue(j)
 }
@@ -181,10 +181,10 @@
 	}
 	j.entry.End(j.bulk())
 	if answered {
-		routing.Answered(j.entry, j.latency, j.expected, now.Sub(j.sent))
+		routing.RecordResponse(j.entry, j.latency, j.expected, now.Sub(j.sent))
 	} else {
 		g.sample(j, admission.Sample{Failed: true})
-		routing.Failed(g.table, j.entry, now)
+		routing.RecordFailure(g.table, j.entry, now)
 	}
 	g.refresh()
 	g.line.release(j)
--- a/experiment/policy_retry.go
+++ b/experiment/policy_retry.go
@@ -77,12 +77,12 @@
 			i := routing.ChooseServer(&routing.Request{Service: svc, Exclude: exclude}, list, now, rng)
 			sent++
 			if !c.broken(i, rng) {
-				routing.Answered(list[i], 0, 0, time.Second)
+				routing.RecordResponse(list[i], 0, 0, time.Second)
 				answered++
 				break
 			}
 			if c.eject {
-				routing.Failed(table, list[i], now)
+				routing.RecordFailure(table, list[i], now)
 			}
 			exclude[list[i].View().ID] = true
 			_, ok := budget.Take(svc, refusal.CodeBackendFailed, attempt, time.Minute, rng)
--- a/instance/domains.go
+++ b/instance/domains.go
@@ -48,7 +48,7 @@
 }
 
 func queueOf(s admission.ClassStats) routing.Queue {
-	return routing.Queue{ExpectedWait: s.ExpectedWait, HasRoom: s.AcceptsRemote, Room: s.FreeSlots}
+	return routing.Queue{ExpectedWait: s.ExpectedWait, AcceptsRemote: s.AcceptsRemote, FreeSlots: s.FreeSlots}
 }
 
 // Peers implements dispatch.Domains.
@@ -73,8 +73,8 @@
 func (i *Instance) remote(m membership.Member, name string) routing.Domain {
 	d := routing.Domain{
 		Name: m.Entry.GetDomain(), Region: m.Entry.GetRegion(), PeerID: m.Entry.GetId(),
-		PeerHash: xxhash.Sum64String(m.Entry.GetId()), Report: uint64(m.LastContact.UnixNano()),
-		Peer: m.Entry.GetPeerAddress(), LinkDelay: i.settings.Links.Domain,
+		PeerHash: xxhash.Sum64String(m.Entry.GetId()), ReportSeq: uint64(m.LastContact.UnixNano()),
+		PeerAddress: m.Entry.GetPeerAddress(), LinkDelay: i.settings.Links.Domain,
 	}
 	if d.Region != i.settings.Region {
 		d.LinkDelay = i.settings.Links.Region
@@ -83,12 +83,12 @@
 		if load.GetService() == name {
 			d.Servers, d.InFlight = int(load.GetServers()), int(load.GetInFlight())
 			d.Interactive = routing.Queue{
-				ExpectedWait: time.Duration(load.GetExpectedWaitMs()) * time.Millisecond,
-				HasRoom:      load.GetHasRoom(), Room: int(load.GetRoom()),
+				ExpectedWait:  time.Duration(load.GetExpectedWaitMs()) * time.Millisecond,
+				AcceptsRemote: load.GetHasRoom(), FreeSlots: int(load.GetRoom()),
 			}
 			d.Bulk = routing.Queue{
-				ExpectedWait: time.Duration(load.GetBulkWaitMs()) * time.Millisecond,
-				HasRoom:      load.GetBulkHasRoom(), Room: int(load.GetBulkRoom()),
+				ExpectedWait:  time.Duration(load.GetBulkWaitMs()) * time.Millisecond,
+				AcceptsRemote: load.GetBulkHasRoom(), FreeSlots: int(load.GetBulkRoom()),
 			}
 		}
 	}
--- a/instance/poll.go
+++ b/instance/poll.go
@@ -63,8 +63,8 @@
 func (i *Instance) pollCache(ctx context.Context, entry *servers.Entry) {
 	server := entry.View()
 	index := i.local.Prefixes.Index(server.Service)
-	index.Booted(entry.Slot(), server.Load.BootID)
-	events, err := i.backend.CacheEvents(ctx, server.Address, index.After(entry.Slot()))
+	index.SetBootID(entry.Slot(), server.Load.BootID)
+	events, err := i.backend.CacheEvents(ctx, server.Address, index.LastSeq(entry.Slot()))
 	if err != nil {
 		return // asked again with the next poll
 	}
--- a/instance/routed/facts.go
+++ b/instance/routed/facts.go
@@ -109,17 +109,17 @@
 		byRegion[region] = n.backends.InRegion(region, now)
 	}
 	for _, svc := range config.Services {
-		settings := placement.Settings{ColdRate: svc.ColdRate, ColdOwner: n.ownsCold, Features: n.features}
+		settings := placement.Settings{ColdRate: svc.ColdRate, OwnsColdServer: n.ownsCold, Features: n.features}
 		if svc.Engine != nil {
 			settings.Engine, settings.Slots, settings.CacheTokens = true, svc.Engine.Slots, svc.Engine.CacheTokens
 			if svc.Engine.LinkRate > 0 {
-				settings.FetchTime = svc.Engine.TokenBytes / svc.Engine.LinkRate
+				settings.FetchSecondsPerToken = svc.Engine.TokenBytes / svc.Engine.LinkRate
 			}
 		}
 		pool := n.local.Pool(svc.Name)
 		for region, entries := range byRegion {
 			if region != n.settings.Region && svc.Engine != nil {
-				pool.UpdateFar(region, ofService(entries, svc.Name))
+				pool.UpdateRemote(region, ofService(entries, svc.Name))
 			}
 		}
 		pool.Update(settings, ofService(byRegion[n.settings.Region], svc.Name))
@@ -185,8 +185,8 @@
 		s := n.local.Pool(svc.Name).Summarize(now)
 		loads = append(loads, &peerpb.ServiceLoad{
 			Service: svc.Name, Servers: uint32(s.Servers), InFlight: uint32(s.Running),
-			ExpectedWaitMs: uint32(s.Expected.Milliseconds()), HasRoom: s.Room > 0, Room: uint32(s.Room),
-			SlowedPercent: uint32(100 * s.Slowed),
+			ExpectedWaitMs: uint32(s.ExpectedFirstByte.Milliseconds()), HasRoom: s.FreeSlots > 0, Room: uint32(s.FreeSlots),
+			SlowedPercent: uint32(100 * s.StallFraction),
 		})
 	}
 	away := n.storeAway()
@@ -197,11 +197,11 @@
 }
 
 // digest sums up what the other instances of the region are to know of the load.
-func (n *Instance) digest() placement.Digest {
-	var all placement.Digest
+func (n *Instance) digest() placement.LoadReport {
+	var all placement.LoadReport
 	if config := n.routes.Current(); config != nil {
 		for name := range config.Services {
-			d := n.local.Pool(name).Digest()
+			d := n.local.Pool(name).LoadReport()
 			all.Servers = append(all.Servers, d.Servers...)
 			all.Dispatches = append(all.Dispatches, d.Dispatches...)
 		}
@@ -210,10 +210,10 @@
 }
 
 // absorb takes in another instance's word. Each pool takes what it knows the servers of.
-func (n *Instance) absorb(from string, d *placement.Digest, now time.Time) {
+func (n *Instance) absorb(from string, d *placement.LoadReport, now time.Time) {
 	if config := n.routes.Current(); config != nil {
 		for name := range config.Services {
-			n.local.Pool(name).Absorb(from, d, now)
+			n.local.Pool(name).ApplyReport(from, d, now)
 		}
 	}
 }
--- a/transport/dispatch/front.go
+++ b/transport/dispatch/front.go
@@ -143,7 +143,7 @@
 // request is what routing needs to know of the work.
 func (f *Front) request(svc *service.Service, w *Work) *routing.Request {
 	r := &routing.Request{
-		Service: svc, Account: xxhash.Sum64String(w.Account), Home: w.Home, Hop: w.Hop,
+		Service: svc, Account: xxhash.Sum64String(w.Account), HomeRegion: w.Home, Hop: w.Hop,
 		Bulk: w.Class == service.ClassBulk, Exclude: make(map[string]bool),
 	}
 	if w.Generation != nil {
@@ -190,7 +190,7 @@
 	if chosen == nil {
 		return refusal.New(refusal.CodeNoServer, "no failure domain can take the request").After(noServerRetry)
 	}
-	if chosen.Peer == "" {
+	if chosen.PeerAddress == "" {
 		err := f.Local.Run(ctx, w, sink)
 		f.exclude(request, chosen, err)
 		return err
@@ -198,7 +198,7 @@
 	f.countForward(w, chosen)
 	next := *w
 	next.Hop = w.Hop + 1
-	err := f.Forwarder.Forward(ctx, chosen.Peer, &next, sink)
+	err := f.Forwarder.Forward(ctx, chosen.PeerAddress, &next, sink)
 	f.exclude(request, chosen, err)
 	return err
 }
--- a/transport/dispatch/front_test.go
+++ b/transport/dispatch/front_test.go
@@ -49,8 +49,8 @@
 
 func farAt(domain, address string, wait time.Duration) routing.Domain {
 	return routing.Domain{
-		Name: domain, Region: "labasa-a", Peer: address, PeerID: address, Servers: 1,
-		Interactive: routing.Queue{HasRoom: true, Room: 100, ExpectedWait: wait},
+		Name: domain, Region: "labasa-a", PeerAddress: address, PeerID: address, Servers: 1,
+		Interactive: routing.Queue{AcceptsRemote: true, FreeSlots: 100, ExpectedWait: wait},
 	}
 }
 
--- a/transport/dispatch/local.go
+++ b/transport/dispatch/local.go
@@ -194,9 +194,9 @@
 }
 
 func (l *LocalDispatcher) request(w *Work, svc *service.Service) *routing.Request {
-	r := &routing.Request{Service: svc, Account: xxhash.Sum64String(w.Account), Home: w.Home, Hop: w.Hop, Bulk: w.Class == service.ClassBulk}
+	r := &routing.Request{Service: svc, Account: xxhash.Sum64String(w.Account), HomeRegion: w.Home, Hop: w.Hop, Bulk: w.Class == service.ClassBulk}
 	if w.Generation != nil {
-		r.PromptTokens, r.Cached = l.Prefixes.match(w)
+		r.PromptTokens, r.CachedBlocks = l.Prefixes.match(w)
 	}
 	return r
 }
@@ -217,7 +217,7 @@
 	}
 	return &placed{
 		service: request.Service, entry: entry, server: server, request: request, run: run,
-		prompt: request.Uncached(entry),
+		prompt: request.UncachedTokens(entry),
 	}, nil
 }
 
@@ -283,10 +283,10 @@
 	switch {
 	case err == nil:
 		duration := now.Sub(m.sent)
-		routing.Answered(p.entry, m.latency, m.expected, duration)
+		routing.RecordResponse(p.entry, m.latency, m.expected, duration)
 	case ctx.Err() == nil && refusal.From(err).Code == refusal.CodeBackendFailed:
 		l.Admission.answered(p.entry, p.service, admission.Sample{Failed: true}, now)
-		routing.Failed(l.Servers, p.entry, now)
+		routing.RecordFailure(l.Servers, p.entry, now)
 		w.tried = append(w.tried, p.server.ID)
 	}
 }
--- a/transport/dispatch/measure.go
+++ b/transport/dispatch/measure.go
@@ -27,8 +27,8 @@
 	now := time.Now()
 	m := &measured{Sink: sink, placed: p, sent: now, started: started}
 	if p.request.PromptTokens > 0 {
-		m.alone = max(routing.Alone(p.request, p.entry), minExpected)
-		m.expected = max(routing.Expected(p.request, p.entry, now), minExpected)
+		m.alone = max(routing.UnloadedFirstToken(p.request, p.entry), minExpected)
+		m.expected = max(routing.ExpectedFirstToken(p.request, p.entry, now), minExpected)
 	}
 	return m
 }
--- a/transport/dispatch/prefixes.go
+++ b/transport/dispatch/prefixes.go
@@ -49,5 +49,5 @@
 }
 
 func (p *PrefixIndexes) dispatched(w *Work, slot int) {
-	p.Index(w.Service).Dispatched(slot, w.Home, blocksOf(w.Generation.Prompt))
+	p.Index(w.Service).RecordDispatch(slot, w.Home, blocksOf(w.Generation.Prompt))
 }
--- a/transport/httproute/attempt.go
+++ b/transport/httproute/attempt.go
@@ -102,10 +102,10 @@
 }
 
 // elsewhere tells whether another server than those tried can be used.
-func (f *Front) elsewhere(r *request, work *placement.Work, tried []string) bool {
+func (f *Front) elsewhere(r *request, work *placement.Request, tried []string) bool {
 	homes, anywhere := routes.AllowedRegions(r.route, r.account)
 	if anywhere || slices.Contains(homes, f.Region) {
-		if _, ok := f.Local.Pool(r.service).Expected(work, time.Now()); ok {
+		if _, ok := f.Local.Pool(r.service).ExpectedFirstByte(work, time.Now()); ok {
 			return true
 		}
 	}
@@ -160,9 +160,9 @@
 		}
 	} else {
 		r.work.Exclude = append(r.work.Exclude, choice.Placement.Server.ID)
-		r.note(eventPlaced, "server", choice.Placement.Server.ID, "expected_ms", choice.Expected.Milliseconds(),
-			"cached", choice.Cached, "late", choice.Late, "fetch_from", choice.FetchFrom,
-			"running", choice.Running, "backlog", choice.Backlog, "pause_ms", choice.Pause.Milliseconds())
+		r.note(eventPlaced, "server", choice.Placement.Server.ID, "expected_ms", choice.ExpectedFirstByte.Milliseconds(),
+			"cached", choice.CachedTokens, "late", choice.Late, "fetch_from", choice.FetchFrom,
+			"running", choice.Running, "backlog", choice.BacklogTokens, "pause_ms", choice.ExpectedEventGap.Milliseconds())
 		r.mayLeave = f.mayLeave(r)
 		o.giveUp = r.mayLeave
 		answer, failed = f.Local.send(run, o, choice)
--- a/transport/httproute/choose.go
+++ b/transport/httproute/choose.go
@@ -23,8 +23,8 @@
 		if remote := f.early(r, pool, homes, anywhere, now); remote != nil {
 			return placement.Choice{}, remote, nil
 		}
-		r.work.Far = f.farSource(r, pool, homes, anywhere)
-		r.work.OnTime = true
+		r.work.RemoteSource = f.farSource(r, pool, homes, anywhere)
+		r.work.RejectIfLate = true
 		if own = pool.Place(&r.work, now); own.Placement != nil {
 			return own, nil, nil
 		}
@@ -35,7 +35,7 @@
 		return placement.Choice{}, remote, nil
 	}
 	if here && own.Reason != placement.ReasonNoServer {
-		r.work.OnTime = false
+		r.work.RejectIfLate = false
 		if own = pool.Place(&r.work, now); own.Placement != nil {
 			return own, nil, nil
 		}
@@ -47,8 +47,8 @@
 // noteUnplaced keeps why a request went nowhere: what the best server here and the best
 // other region would have taken.
 func (f *Front) noteUnplaced(r *request, here bool, own placement.Choice, remote *Remote) {
-	attrs := []any{"here", here, "reason", string(own.Reason), "expected_ms", own.Expected.Milliseconds(),
-		"running", own.Running, "backlog", own.Backlog}
+	attrs := []any{"here", here, "reason", string(own.Reason), "expected_ms", own.ExpectedFirstByte.Milliseconds(),
+		"running", own.Running, "backlog", own.BacklogTokens}
 	if remote != nil {
 		attrs = append(attrs, "region", remote.Region, "region_expected_ms", remote.arrives().Milliseconds())
 	}
@@ -81,8 +81,8 @@
 	if !f.Features.On(features.SpillByOccupancy) {
 		running = 0
 	}
-	own := spill.Occupancy{Running: running, Slots: slots, Slowed: pool.Slowed(now)}
-	if !own.Leaves() {
+	own := spill.Occupancy{Running: running, Slots: slots, StallFraction: pool.StallFraction(now)}
+	if !own.ShouldSpill() {
 		return nil
 	}
 	remotes := f.permitted(r, nil, homes, anywhere)
@@ -90,10 +90,10 @@
 	for i := range remotes {
 		o := &remotes[i]
 		regions[i] = spill.Region{
-			Occupancy: spill.Occupancy{Running: float64(o.Running), Slots: float64(o.Running + o.FreeSlots), Slowed: o.StallFraction}, Arrives: o.arrives(),
+			Occupancy: spill.Occupancy{Running: float64(o.Running), Slots: float64(o.Running + o.FreeSlots), StallFraction: o.StallFraction}, ExpectedFirstByte: o.arrives(),
 		}
 	}
-	chosen := spill.Early(own, regions, r.work.Objective-now.Sub(r.arrived), rand.Float64())
+	chosen := spill.ChooseRegion(own, regions, r.work.Objective-now.Sub(r.arrived), rand.Float64())
 	if chosen < 0 {
 		return nil
 	}
@@ -102,9 +102,9 @@
 
 // farSource returns a server of another region that may hold the request's shared parts:
 // of the permitted region at whose servers most requests run, since it has read most.
-func (f *Front) farSource(r *request, pool *placement.Pool, homes []string, anywhere bool) placement.Source {
-	if len(r.work.Parts) < 2 {
-		return placement.Source{}
+func (f *Front) farSource(r *request, pool *placement.Pool, homes []string, anywhere bool) placement.FetchSource {
+	if len(r.work.Segments) < 2 {
+		return placement.FetchSource{}
 	}
 	most := -1
 	region := ""
@@ -114,17 +114,17 @@
 			region, most = o.Region, o.Running
 		}
 	}
-	return pool.FarSource(&r.work, region)
+	return pool.RemoteFetchSource(&r.work, region)
 }
 
 // holder returns the server here that a region to which the request is forwarded may fetch
 // shared parts from; none where the request's homes leave out the own region.
-func (f *Front) holder(r *request, now time.Time) placement.Source {
+func (f *Front) holder(r *request, now time.Time) placement.FetchSource {
 	homes, anywhere := routes.AllowedRegions(r.route, r.account)
 	if !anywhere && !slices.Contains(homes, f.Region) {
-		return placement.Source{}
+		return placement.FetchSource{}
 	}
-	return f.Local.Pool(r.service).Holder(&r.work, now)
+	return f.Local.Pool(r.service).LocalFetchSource(&r.work, now)
 }
 
 // bestRemote returns the permitted region that should answer first, or nil.
@@ -150,7 +150,7 @@
 			continue
 		}
 		f.sent.correct(&o, r.service, instances)
-		o.ExpectedFirstByte += placement.BeyondSummary(&r.work)
+		o.ExpectedFirstByte += placement.ExtraPrefillTime(&r.work)
 		out = append(out, o)
 	}
 	return out
--- a/transport/httproute/choose_test.go
+++ b/transport/httproute/choose_test.go
@@ -27,13 +27,13 @@
 	server := func(id string) []backends.Entry {
 		return []backends.Entry{{Server: backends.Server{ID: id, Address: id + ":1", Slots: 8}, Incarnation: 1}}
 	}
-	pool.Update(placement.Settings{Engine: true, Slots: 8, CacheTokens: 100_000, FetchTime: 1e-6}, server("own"))
-	pool.UpdateFar("away", server("away"))
-	pool.UpdateFar("home", server("home"))
+	pool.Update(placement.Settings{Engine: true, Slots: 8, CacheTokens: 100_000, FetchSecondsPerToken: 1e-6}, server("own"))
+	pool.UpdateRemote("away", server("away"))
+	pool.UpdateRemote("home", server("home"))
 	now := time.Now()
 	r := &request{route: &routes.Route{}, service: "svc"}
-	r.work = placement.Work{
-		Parts: []placement.Part{{ID: 1, Tokens: 5000}, {ID: 2, Tokens: 100}}, Tokens: 5100, Arrived: now, Deadline: now.Add(time.Second),
+	r.work = placement.Request{
+		Segments: []placement.PromptSegment{{ID: 1, Tokens: 5000}, {ID: 2, Tokens: 100}}, Tokens: 5100, Arrived: now, Deadline: now.Add(time.Second),
 	}
 	if pool.Place(&r.work, now).Placement == nil {
 		t.Fatal("not placed")
@@ -67,7 +67,7 @@
 	pool.Update(placement.Settings{Engine: true, Slots: 8}, []backends.Entry{{Server: backends.Server{ID: "own", Slots: 8}, Incarnation: 1}})
 	now := time.Now()
 	r := &request{route: &routes.Route{}, service: "svc"}
-	r.work = placement.Work{Tokens: 10, Arrived: now, Deadline: now.Add(time.Minute)}
+	r.work = placement.Request{Tokens: 10, Arrived: now, Deadline: now.Add(time.Minute)}
 	for range 8 {
 		if pool.Place(&r.work, now).Placement == nil {
 			t.Fatal("not placed")
--- a/transport/httproute/codec.go
+++ b/transport/httproute/codec.go
@@ -22,7 +22,7 @@
 	HasTokens    bool
 	PromptTokens int
 	OutputTokens int // at most
-	Segments     []placement.Part
+	Segments     []placement.PromptSegment
 	LastEventID  string
 }
 
@@ -45,7 +45,7 @@
 	NotRun      bool // the server did not run the request and never will
 	Misdirected bool // another server has the address now
 	Stamped     bool // the answer bears the server's proof
-	Load        *placement.Load
+	Load        *placement.ReportedLoad
 }
 
 // Codec translates the headers of a deployment. It decides nothing.
--- a/transport/httproute/forward.go
+++ b/transport/httproute/forward.go
@@ -180,11 +180,11 @@
 		id: call.RequestID, service: said.Service, account: said.Account, method: hr.Method, target: hr.RequestURI,
 		host: hr.Host, header: header, body: body, deadline: deadline, repeatable: said.Repeatable, print: said.Print,
 		lastEventID: said.LastEventID, config: said.Config,
-		work: &placement.Work{
-			Parts: call.Segments, Tokens: call.PromptTokens, Urgency: said.Urgency, Probe: said.Repeatable,
-			Risk:      !said.Detached,
-			Far:       placement.Source{Address: said.HolderAddress, Tokens: said.HolderTokens},
-			Objective: time.Duration(said.ObjectiveMs) * time.Millisecond, Arrived: arrived, Deadline: deadline,
+		work: &placement.Request{
+			Segments: call.Segments, Tokens: call.PromptTokens, Urgency: said.Urgency, Probe: said.Repeatable,
+			AllowEjected: !said.Detached,
+			RemoteSource: placement.FetchSource{Address: said.HolderAddress, Tokens: said.HolderTokens},
+			Objective:    time.Duration(said.ObjectiveMs) * time.Millisecond, Arrived: arrived, Deadline: deadline,
 		},
 	}
 }
--- a/transport/httproute/front.go
+++ b/transport/httproute/front.go
@@ -85,7 +85,7 @@
 	arrived   time.Time
 	deadline  time.Time
 	print     string // fingerprint
-	work      placement.Work
+	work      placement.Request
 	tried     []string // regions that were tried
 	attempts  int      // sends to backend servers
 	story     []decision
@@ -256,10 +256,10 @@
 	if r.account != nil && r.account.Priority >= 0 {
 		urgency = r.account.Priority
 	}
-	r.work = placement.Work{
-		Parts: r.Segments, Tokens: r.PromptTokens, Urgency: urgency, Objective: r.route.Objective, Gap: r.route.GapObjective,
+	r.work = placement.Request{
+		Segments: r.Segments, Tokens: r.PromptTokens, Urgency: urgency, Objective: r.route.Objective, MaxEventGap: r.route.GapObjective,
 		Arrived: r.arrived, Deadline: r.deadline, Probe: r.route.Repeatable(),
-		Risk: r.route.Kind != routes.KindNonIdempotent,
+		AllowEjected: r.route.Kind != routes.KindNonIdempotent,
 	}
 }
 
--- a/transport/httproute/local.go
+++ b/transport/httproute/local.go
@@ -53,7 +53,7 @@
 	host        string
 	header      http.Header
 	body        []byte
-	work        *placement.Work
+	work        *placement.Request
 	deadline    time.Time
 	repeatable  bool
 	giveUp      func() bool // tells whether another server may be asked instead; nil for never
@@ -118,7 +118,7 @@
 	answer, err := l.Client.Do(ctx, server.Address, &backendhttp.Request{
 		Method: o.method, Target: o.target, Host: o.host, Header: out, Body: o.body,
 	}, backendhttp.Options{
-		FreshConn: !o.repeatable, IdleTimeout: o.silence(choice.Expected, now), ShouldAbort: o.giveUp,
+		FreshConn: !o.repeatable, IdleTimeout: o.silence(choice.ExpectedFirstByte, now), ShouldAbort: o.giveUp,
 		MatchResponse: func(resp *http.Response) bool {
 			id := l.Codec.DecodeResponse(resp.StatusCode, resp.Header).RequestID
 			return id == o.id
@@ -147,7 +147,7 @@
 	now := time.Now()
 	verdict := l.Codec.DecodeResponse(answer.Status, answer.Header)
 	if verdict.Load != nil {
-		pool.Reported(placed, *verdict.Load, now)
+		pool.RecordLoad(placed, *verdict.Load, now)
 	}
 	r := &reply{Response: answer, verdict: verdict, server: placed.Server.ID}
 	r.ended = func(outcome placement.Outcome) {
@@ -171,11 +171,11 @@
 		pool.Done(placed, placement.OutcomeFailed, now)
 		return nil, &failure{run: unknown, reason: reasonMalformed, server: r.server, sent: true}
 	}
-	pool.FirstByte(placed, now)
+	pool.RecordFirstByte(placed, now)
 	var last time.Time
 	r.went = func(now time.Time) {
 		if !last.IsZero() {
-			pool.Event(placed, now.Sub(last), now)
+			pool.RecordEvent(placed, now.Sub(last), now)
 		}
 		last = now
 	}
@@ -225,7 +225,7 @@
 			return
 		}
 		now := time.Now()
-		l.Pool(o.service).Down(placed, now)
+		l.Pool(o.service).RecordDown(placed, now)
 		l.Quarantine.RecordCrash(o.print, placed.Server.ID, lifetimeName(placed), now)
 		l.Log.Info("server_crashed", "request", o.id, "server", placed.Server.ID, "fingerprint", o.print)
 	}()
--- a/transport/loadcast/codec.go
+++ b/transport/loadcast/codec.go
@@ -8,8 +8,8 @@
 
 var kindOnWire = map[loadhub.Kind]peerpb.LoadCastKind{
 	loadhub.Direct:    peerpb.LoadCastKind_LOAD_CAST_KIND_DIRECT,
-	loadhub.Word:      peerpb.LoadCastKind_LOAD_CAST_KIND_WORD,
-	loadhub.Region:    peerpb.LoadCastKind_LOAD_CAST_KIND_REGION,
+	loadhub.HubReport: peerpb.LoadCastKind_LOAD_CAST_KIND_WORD,
+	loadhub.RegionSum: peerpb.LoadCastKind_LOAD_CAST_KIND_REGION,
 	loadhub.DomainSum: peerpb.LoadCastKind_LOAD_CAST_KIND_DOMAIN_SUM,
 }
 
@@ -23,15 +23,15 @@
 
 func encode(m *loadhub.Message) *peerpb.LoadCast {
 	out := &peerpb.LoadCast{From: m.From, Kind: kindOnWire[m.Kind], Domain: m.Domain}
-	for _, s := range m.Digest.Servers {
+	for _, s := range m.Report.Servers {
 		out.Servers = append(out.Servers, &peerpb.ServerLoadCast{
-			Server: s.Server, Pending: uint32(s.Pending), Urgent: uint32(s.Urgent), InFlight: uint32(s.InFlight),
+			Server: s.Server, Pending: uint32(s.PendingTokens), Urgent: uint32(s.UrgentTokens), InFlight: uint32(s.InFlight),
 			Served: uint32(s.Served), Failed: uint32(s.Failed), Down: s.Down,
 		})
 	}
-	for _, sent := range m.Digest.Dispatches {
+	for _, sent := range m.Report.Dispatches {
 		cast := &peerpb.DispatchCast{Server: sent.Server}
-		for _, part := range sent.Parts {
+		for _, part := range sent.Segments {
 			cast.Parts = append(cast.Parts, part.ID)
 			cast.Tokens = append(cast.Tokens, uint32(part.Tokens))
 		}
@@ -42,10 +42,10 @@
 
 func decode(m *peerpb.LoadCast) loadhub.Message {
 	out := loadhub.Message{Kind: kindOfWire[m.GetKind()], From: m.GetFrom(), Domain: m.GetDomain()}
-	d := &out.Digest
+	d := &out.Report
 	for _, s := range m.GetServers() {
 		d.Servers = append(d.Servers, placement.ServerLoad{
-			Server: s.GetServer(), Pending: int(s.GetPending()), Urgent: int(s.GetUrgent()), InFlight: int(s.GetInFlight()),
+			Server: s.GetServer(), PendingTokens: int(s.GetPending()), UrgentTokens: int(s.GetUrgent()), InFlight: int(s.GetInFlight()),
 			Served: int(s.GetServed()), Failed: int(s.GetFailed()), Down: s.GetDown(),
 		})
 	}
@@ -53,7 +53,7 @@
 		dispatch := placement.Dispatch{Server: sent.GetServer()}
 		for i, id := range sent.GetParts() {
 			if i < len(sent.GetTokens()) {
-				dispatch.Parts = append(dispatch.Parts, placement.Part{ID: id, Tokens: int(sent.GetTokens()[i])})
+				dispatch.Segments = append(dispatch.Segments, placement.PromptSegment{ID: id, Tokens: int(sent.GetTokens()[i])})
 			}
 		}
 		d.Dispatches = append(d.Dispatches, dispatch)
--- a/transport/loadcast/loadcast.go
+++ b/transport/loadcast/loadcast.go
@@ -27,9 +27,9 @@
 	Self        string
 	Incarnation uint64
 	// LoadReport returns the own load.
-	LoadReport func() placement.Digest
+	LoadReport func() placement.LoadReport
 	// ApplyReport takes in the load of a source, which replaces what the source said before.
-	ApplyReport func(source string, d *placement.Digest, now time.Time)
+	ApplyReport func(source string, d *placement.LoadReport, now time.Time)
 
 	conn *net.UDPConn
 	seq  uint64
@@ -69,7 +69,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.Close() }) // ends receive
 	defer stop()
 	go c.receive(ctx)
-	ticker := time.NewTicker(loadhub.Every)
+	ticker := time.NewTicker(loadhub.ReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -87,7 +87,7 @@
 	out, heard := c.exchange.Round(own, now)
 	c.mu.Unlock()
 	for i := range heard {
-		c.ApplyReport(heard[i].Source, &heard[i].Digest, now)
+		c.ApplyReport(heard[i].Source, &heard[i].Report, now)
 	}
 	for i := range out {
 		c.send(&out[i])
@@ -131,10 +131,10 @@
 		c.mu.Unlock()
 		return
 	}
-	heard, ok := c.exchange.Hear(decode(m), from, now)
+	heard, ok := c.exchange.Receive(decode(m), from, now)
 	c.mu.Unlock()
 	if ok {
-		c.ApplyReport(heard.Source, &heard.Digest, now)
+		c.ApplyReport(heard.Source, &heard.Report, now)
 	}
 }
 
