--- a/coordination/routing/server.go
+++ b/coordination/routing/server.go
@@ -145,7 +145,7 @@
 	if s.request.Service.Policy == service.PolicyCost {
 		weight = costPrefillFactor
 	}
-	cost := s.expected(e, f) * f.LatencyFactor
+	cost := s.expected(e, f) * f.FirstTokenFactor
 	cost += (weight - 1) * float64(s.request.UncachedTokens(e)) / prefillRate(f)
 	if up := float64(s.now - f.Since); up < warmUp {
 		cost += warmUpPenalty * (1 - up/warmUp)
--- a/state/servers/entry.go
+++ b/state/servers/entry.go
@@ -27,23 +27,23 @@
 // Facts is what decisions read of a server for every request, worked out when
 // the view changes. Times are in nanoseconds since 1970, durations in seconds.
 type Facts struct {
-	Usable         bool
-	EjectedUntil   int64
-	ReportedAt     int64
-	Since          int64
-	PrefillRate    float64 // prompt tokens per second; 0 when not known
-	StepTime       float64 // to give each running request a token
-	QueueDrainTime float64 // for what waits in the server to start
-	OtherRequests  float64 // requests of other instances
-	WaitingTokens  float64
-	LatencyFactor  float64 // measured against expected time to the first token
+	Usable           bool
+	EjectedUntil     int64
+	ReportedAt       int64
+	Since            int64
+	PrefillRate      float64 // prompt tokens per second; 0 when not known
+	StepTime         float64 // to give each running request a token
+	QueueDrainTime   float64 // for what waits in the server to start
+	OtherRequests    float64 // requests of other instances
+	WaitingTokens    float64
+	FirstTokenFactor float64 // measured against expected time to the first token
 }
 
 func factsOf(s *Server) Facts {
 	f := Facts{
 		Usable: s.Usable(), EjectedUntil: s.EjectedUntil.UnixNano(), ReportedAt: s.Load.At.UnixNano(),
 		Since: s.Since.UnixNano(), PrefillRate: s.Load.PrefillRate, WaitingTokens: float64(s.Load.WaitingTokens),
-		OtherRequests: float64(max(s.Load.Running+s.Load.Waiting-s.OwnAtReport, 0)), LatencyFactor: s.LatencyFactor,
+		OtherRequests: float64(max(s.Load.Running+s.Load.Waiting-s.OwnAtReport, 0)), FirstTokenFactor: s.LatencyFactor,
 	}
 	if s.EjectedUntil.IsZero() {
 		f.EjectedUntil = 0
