--- a/coordination/quota/bench_test.go
+++ b/coordination/quota/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// benchLedger returns a ledger that holds a slot of a fleet of seven domains and
-// knows some accounts.
+// benchLedger returns a ledger that holds a slot in a fleet of seven domains and
+// has documents of the given number of accounts.
 func benchLedger(accounts int, now time.Time) (*Ledger, []string) {
 	fleet := &service.Fleet{
 		Regions: map[string]service.Region{
@@ -31,7 +31,7 @@
 	return l, names
 }
 
-// BenchmarkAdmitSettle is the decision on a request's path: charge and settle.
+// BenchmarkAdmitSettle measures the work on a request's path: charge and settle.
 func BenchmarkAdmitSettle(b *testing.B) {
 	now := time.Unix(1, 0)
 	l, names := benchLedger(1000, now)
@@ -47,15 +47,15 @@
 	}
 }
 
-// BenchmarkSizeAccounts is the work of one tick (20 a second) with a hundredth of
-// the accounts in demand, and the heap that all of them take.
+// BenchmarkSizeAccounts measures one tick (there are 20 a second) with demand for one
+// account in a hundred, and the heap of all accounts.
 func BenchmarkSizeAccounts(b *testing.B) {
 	for _, n := range []int{100, 1000, 5000, 11000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			now := time.Unix(1, 0)
 			l, names := benchLedger(n, now)
-			held := heap() - before
+			held := heapBytes() - before
 			lenders := []slots.Member{{ID: "a"}, {ID: "b"}}
 			for b.Loop() {
 				now = now.Add(50 * time.Millisecond)
@@ -73,7 +73,7 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/coordination/quota/borrower.go
+++ b/coordination/quota/borrower.go
@@ -8,38 +8,41 @@
 )
 
 const (
-	demandHalfLife = time.Second            // of the demand average
-	demandFor      = time.Second            // demand that is borrowed ahead
-	lowWater       = 0.6                    // part of that below which more is borrowed
-	returnBefore   = 600 * time.Millisecond // the end of a loan, when what is left goes back
-	aheadPause     = 400 * time.Millisecond // between calls for tokens that no request waits for
-	askPause       = 250 * time.Millisecond // between rounds for an account for which all lenders were dry
-	leastDemand    = 0.1                    // tokens per second below which an account counts as idle
-	// leastAhead is how many requests are expected in demandFor where tokens are borrowed ahead:
-	// those borrowed for fewer mostly go back unspent, and are missing elsewhere meanwhile.
-	leastAhead = 2
+	demandHalfLife      = time.Second            // of the averages of demand
+	borrowAheadPeriod   = time.Second            // demand for so long is borrowed ahead
+	lowWater            = 0.6                    // fraction of the demand ahead below which more is borrowed
+	returnMargin        = 600 * time.Millisecond // before a loan's expiry, when its unspent tokens are returned
+	borrowAheadInterval = 400 * time.Millisecond // between calls that borrow ahead
+	roundInterval       = 250 * time.Millisecond // between rounds for an account whose lenders are all exhausted
+	minDemandRate       = 0.1                    // tokens per second below which an account counts as idle
+	// minRequestsAhead is the number of requests expected within borrowAheadPeriod from which
+	// tokens are borrowed ahead. With fewer, most of the tokens are returned unspent, and other
+	// instances lack them in the meantime.
+	minRequestsAhead = 2
 )
 
 // borrowing is a loan from a peer.
 type borrowing struct {
 	lender slots.Member
-	loan   uint64
+	loanID uint64
 	tokens float64
-	until  time.Time // counted from when it was asked for
+	until  time.Time // LoanValidity after the request was sent
 }
 
-// pendingReport waits for the next call to the lender. A report that is not
-// delivered in reportFor is dropped, which loses tokens.
+// pendingReport is a report to be sent with the next call to the lender.
 type pendingReport struct {
 	lender slots.Member
 	LoanReport
 	at time.Time
 }
 
-const reportFor = 2 * time.Second
+// reportTTL is how long a report waits for a call to its lender. After that it is
+// dropped, which loses tokens.
+const reportTTL = 2 * time.Second
 
-// answerTimeout is when an account asks again though an answer is open.
-const answerTimeout = time.Second
+// responseTimeout is how long an account waits for open calls before it requests
+// loans again.
+const responseTimeout = time.Second
 
 func (a *account) borrowed(now time.Time) float64 {
 	total := 0.0
@@ -51,7 +54,7 @@
 	return total
 }
 
-// spendLoans pays from the loans and returns what is left to pay.
+// spendLoans spends tokens of the loans and returns how many remain to be charged.
 func (a *account) spendLoans(tokens float64, now time.Time, c *Charge) float64 {
 	for i := range a.borrowings {
 		b := &a.borrowings[i]
@@ -61,13 +64,13 @@
 		}
 		b.tokens -= paid
 		tokens -= paid
-		c.loans = append(c.loans, loanPart{b.lender, b.loan, paid})
-		a.report(b.lender, LoanReport{LoanID: b.loan, Spent: paid}, now)
+		c.loans = append(c.loans, loanPayment{b.lender, b.loanID, paid})
+		a.report(b.lender, LoanReport{LoanID: b.loanID, Spent: paid}, now)
 	}
 	return tokens
 }
 
-// report adds to what the lender is told, one report for each loan.
+// report merges r into the pending report of its loan.
 func (a *account) report(lender slots.Member, r LoanReport, now time.Time) {
 	for i := range a.reports {
 		p := &a.reports[i]
@@ -82,14 +85,14 @@
 	a.reports = append(a.reports, pendingReport{lender: lender, LoanReport: r, at: now})
 }
 
-func (a *account) reportRefund(parts []loanPart, refund float64, now time.Time) {
-	for _, part := range parts {
-		back := min(refund, part.tokens)
+func (a *account) reportRefund(payments []loanPayment, refund float64, now time.Time) {
+	for _, payment := range payments {
+		back := min(refund, payment.tokens)
 		if back <= 0 {
 			return
 		}
 		refund -= back
-		a.report(part.lender, LoanReport{LoanID: part.loan, Refunded: back}, now)
+		a.report(payment.lender, LoanReport{LoanID: payment.loanID, Refunded: back}, now)
 	}
 }
 
@@ -98,14 +101,14 @@
 	Lender   slots.Member
 	Requests []LoanRequest
 	Reports  []LoanReport
-	asked    time.Time
+	sentAt   time.Time
 }
 
-// Plan returns the calls to make now. holders are the holders of slots in the
-// order in which they are asked, without those to whom a call is still open. One
-// that holds several slots gets one call: reports sent twice would refund twice.
+// Plan returns the calls to make now. holders are the holders of slots in order of
+// preference, without those that have an open call. A holder of several slots gets
+// one call, since a report sent twice would refund twice.
 func (l *Ledger) Plan(holders []slots.Member, now time.Time) []*Call {
-	p := &plan{holders: holders, ahead: l.aheadDue(now), now: now}
+	p := &plan{holders: holders, ahead: l.borrowAheadDue(now), now: now}
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
@@ -116,15 +119,15 @@
 	return p.out
 }
 
-// aheadDue tells whether it is time to borrow ahead. All accounts do so at the
-// same time, so that their wants and reports share calls.
-func (l *Ledger) aheadDue(now time.Time) bool {
+// borrowAheadDue reports whether it is time to borrow ahead. All accounts do so at the
+// same time, so that their requests and reports share calls.
+func (l *Ledger) borrowAheadDue(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Before(l.nextAhead) {
+	if now.Before(l.nextBorrowAhead) {
 		return false
 	}
-	l.nextAhead = now.Add(aheadPause)
+	l.nextBorrowAhead = now.Add(borrowAheadInterval)
 	return true
 }
 
@@ -134,7 +137,7 @@
 		a.mint(p.now, s.minting)
 		a.dropExpired(p.now)
 		if p.ahead || len(a.waiters) > 0 {
-			a.want(p, s.minting)
+			a.borrow(p, s.minting)
 		}
 		if p.ahead {
 			a.returnSurplus(s.minting, p.now)
@@ -151,15 +154,15 @@
 }
 
 func (a *account) idle() bool {
-	return a.asked == 0 && a.demand < leastDemand && len(a.waiters) == 0 && len(a.borrowings) == 0 && len(a.reports) == 0
+	return a.requestedSinceTick == 0 && a.demandRate < minDemandRate && len(a.waiters) == 0 && len(a.borrowings) == 0 && len(a.reports) == 0
 }
 
-// dropExpired returns loans near their end and forgets those past it.
+// dropExpired returns loans that are about to expire and drops expired ones.
 func (a *account) dropExpired(now time.Time) {
 	kept := a.borrowings[:0]
 	for _, b := range a.borrowings {
-		if b.tokens > 0 && now.Before(b.until) && b.until.Sub(now) < returnBefore {
-			a.report(b.lender, LoanReport{LoanID: b.loan, Returned: b.tokens}, now)
+		if b.tokens > 0 && now.Before(b.until) && b.until.Sub(now) < returnMargin {
+			a.report(b.lender, LoanReport{LoanID: b.loanID, Returned: b.tokens}, now)
 			continue
 		}
 		if b.tokens > 0 && now.Before(b.until) {
@@ -169,8 +172,8 @@
 	a.borrowings = kept
 }
 
-// flushReports hands reports to calls that are made anyway, and when accounts borrow ahead
-// also to calls of their own.
+// flushReports adds reports to calls that are made anyway. When accounts borrow ahead, it also
+// makes calls for reports alone.
 func (a *account) flushReports(p *plan) {
 	kept := a.reports[:0]
 	for _, r := range a.reports {
@@ -178,68 +181,68 @@
 			c.Reports = append(c.Reports, r.LoanReport)
 			continue
 		}
-		if p.now.Sub(r.at) < reportFor {
+		if p.now.Sub(r.at) < reportTTL {
 			kept = append(kept, r)
 		}
 	}
 	a.reports = kept
 }
 
-// measure updates the demand average; it is called at every tick.
+// measure updates the averages of demand. It is called at every tick.
 func (a *account) measure(elapsed time.Duration) {
 	keep := math.Exp2(-elapsed.Seconds() / demandHalfLife.Seconds())
-	a.demand = a.demand*keep + a.asked/elapsed.Seconds()*(1-keep)
-	a.admitted = a.admitted*keep + a.charged/elapsed.Seconds()*(1-keep)
-	a.often = a.often*keep + float64(a.requests)/elapsed.Seconds()*(1-keep)
-	a.asked, a.charged, a.requests = 0, 0, 0
+	a.demandRate = a.demandRate*keep + a.requestedSinceTick/elapsed.Seconds()*(1-keep)
+	a.admittedRate = a.admittedRate*keep + a.chargedSinceTick/elapsed.Seconds()*(1-keep)
+	a.requestRate = a.requestRate*keep + float64(a.requestsSinceTick)/elapsed.Seconds()*(1-keep)
+	a.requestedSinceTick, a.chargedSinceTick, a.requestsSinceTick = 0, 0, 0
 }
 
-// round is the present search for lenders. It asks the nearest one first, then
-// twice as many each time, so that few are bothered for a little and a request of
-// nearly the whole burst still finds all of them in time.
+// round is the current search for lenders. It asks the nearest lender first and
+// doubles the number with each step: small amounts cost few calls, and a request of
+// nearly the whole burst still reaches all lenders in time.
 type round struct {
-	asked       []slots.Member
-	fan         int       // lenders asked at once
-	open        int       // answers to come
-	exhaustedAt time.Time // when a round last ended with too little
+	askedLenders []slots.Member
+	fanout       int       // number of lenders to ask at once
+	openCalls    int       // calls without an answer yet
+	exhaustedAt  time.Time // when a round last ended with too few tokens
 }
 
-// exhausted tells whether all lenders were found dry just now.
+// exhausted reports whether all lenders were out of tokens in a recent round.
 func (r *round) exhausted(now time.Time) bool {
-	return !r.exhaustedAt.IsZero() && now.Sub(r.exhaustedAt) <= 2*askPause
+	return !r.exhaustedAt.IsZero() && now.Sub(r.exhaustedAt) <= 2*roundInterval
 }
 
-// want asks lenders for what the queue lacks, and for a second's demand ahead
-// when less than half of it is left.
-func (a *account) want(p *plan, minting int) {
+// borrow requests the tokens that queued requests lack. It also borrows ahead when
+// less than lowWater of the expected demand is available.
+func (a *account) borrow(p *plan, minting int) {
 	if len(p.holders) == 0 {
 		a.round.exhaustedAt = p.now
 		return
 	}
-	if p.now.Before(a.nextAsk) {
+	if p.now.Before(a.nextBorrow) {
 		return
 	}
 	have := a.level + a.borrowed(p.now)
-	queued, ahead := a.queued(), a.neededAhead(minting)
+	queued, ahead := a.queuedTokens(), a.aheadDemand(minting)
 	if have >= queued+ahead*lowWater {
 		return
 	}
-	a.ask(queued+ahead-have, p)
+	a.requestLoans(queued+ahead-have, p)
 }
 
-// neededAhead is what is borrowed for requests to come.
-func (a *account) neededAhead(minting int) float64 {
-	if a.often*demandFor.Seconds() < leastAhead {
+// aheadDemand returns the tokens to borrow ahead, beyond what is minted here.
+func (a *account) aheadDemand(minting int) float64 {
+	if a.requestRate*borrowAheadPeriod.Seconds() < minRequestsAhead {
 		return 0
 	}
-	return max(0, a.demand-a.minted.rate*float64(minting)) * demandFor.Seconds()
+	return max(0, a.demandRate-a.perSlot.rate*float64(minting)) * borrowAheadPeriod.Seconds()
 }
 
-// returnSurplus gives back what nobody here waits for. Lenders found to have less than was asked
-// of them are made up for by others, so more comes than is needed; in a peak it is missing
-// elsewhere for as long as loans last.
+// returnSurplus returns borrowed tokens that exceed the demand. Several lenders are asked for
+// more than is needed, since some have less, so the loans may add up to too much. In a traffic
+// spike other instances would lack the surplus until the loans expire.
 func (a *account) returnSurplus(minting int, now time.Time) {
-	surplus := a.borrowed(now) - a.queued() - a.neededAhead(minting)
+	surplus := a.borrowed(now) - a.queuedTokens() - a.aheadDemand(minting)
 	for i := len(a.borrowings) - 1; i >= 0 && surplus >= 1; i-- {
 		b := &a.borrowings[i]
 		back := math.Floor(min(b.tokens, surplus))
@@ -248,96 +251,98 @@
 		}
 		b.tokens -= back
 		surplus -= back
-		a.report(b.lender, LoanReport{LoanID: b.loan, Returned: back}, now)
+		a.report(b.lender, LoanReport{LoanID: b.loanID, Returned: back}, now)
 	}
 }
 
-// ask spreads what is missing over the round's lenders. Several are asked for
-// twice their even part, since some will have less.
-func (a *account) ask(missing float64, p *plan) {
-	fan := max(1, a.round.fan, a.leastLenders(missing))
+// requestLoans spreads the missing tokens over the round's lenders. Several lenders are each
+// asked for twice an even fraction, since some will have less.
+func (a *account) requestLoans(missing float64, p *plan) {
+	fanout := max(1, a.round.fanout, a.minLenders(missing))
 	tokens := missing
-	if fan > 1 {
-		tokens = min(missing, 2*missing/float64(fan))
+	if fanout > 1 {
+		tokens = min(missing, 2*missing/float64(fanout))
 	}
-	lenders := a.askable(p)
-	lenders = lenders[:min(len(lenders), fan)]
+	lenders := a.candidates(p)
+	lenders = lenders[:min(len(lenders), fanout)]
 	for _, lender := range lenders {
 		c := p.call(lender)
 		c.Requests = append(c.Requests, LoanRequest{Account: a.name, Tokens: math.Ceil(tokens)})
 	}
-	a.round.asked = append(a.round.asked, lenders...)
-	a.round.open = len(lenders)
-	a.nextAsk = p.now.Add(answerTimeout)
-	if a.round.open == 0 {
+	a.round.askedLenders = append(a.round.askedLenders, lenders...)
+	a.round.openCalls = len(lenders)
+	a.nextBorrow = p.now.Add(responseTimeout)
+	if a.round.openCalls == 0 {
 		a.endRound(p.now)
 	}
 }
 
-// leastLenders is how many lenders with full buckets it takes to lend some tokens. Fewer need
-// not be asked first: each round to another region takes most of the time that a request waits.
-func (a *account) leastLenders(tokens float64) int {
-	if a.doc == nil || a.lender <= 0 {
+// minLenders returns how many lenders with full buckets it takes to lend the tokens. A round
+// starts with no fewer, since one round trip to another region takes most of the time that a
+// request may wait.
+func (a *account) minLenders(tokens float64) int {
+	if a.doc == nil || a.minLenderShare <= 0 {
 		return 1
 	}
-	return int(min(math.Ceil(tokens/(mostLent*a.lender*a.doc.Burst)), float64(len(a.lenders))))
+	return int(min(math.Ceil(tokens/(maxLentFraction*a.minLenderShare*a.doc.Burst)), float64(len(a.lenders))))
 }
 
 func (a *account) endRound(now time.Time) {
 	a.round = round{exhaustedAt: now}
-	a.nextAsk = now.Add(askPause)
+	a.nextBorrow = now.Add(roundInterval)
 }
 
-// CompleteCall takes in a lender's answer, nil when none came. Loans count from when
-// they were asked for.
-func (l *Ledger) CompleteCall(c *Call, lent []LoanGrant, now time.Time) {
-	got := make(map[string]LoanGrant, len(lent))
-	for _, item := range lent {
-		got[item.Account] = item
+// CompleteCall applies a lender's answer, nil if there was none. Loans expire
+// LoanValidity after the call was sent.
+func (l *Ledger) CompleteCall(c *Call, answer []LoanGrant, now time.Time) {
+	grants := make(map[string]LoanGrant, len(answer))
+	for _, grant := range answer {
+		grants[grant.Account] = grant
 	}
-	for _, w := range c.Requests {
-		l.takeLoan(c, got[w.Account], w, now)
+	for _, req := range c.Requests {
+		l.applyGrant(c, grants[req.Account], req, now)
 	}
 }
 
-func (l *Ledger) takeLoan(c *Call, item LoanGrant, w LoanRequest, now time.Time) {
-	s := l.shard(w.Account)
+func (l *Ledger) applyGrant(c *Call, grant LoanGrant, req LoanRequest, now time.Time) {
+	s := l.shard(req.Account)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance(now)
-	a := s.account(w.Account, now)
+	a := s.account(req.Account, now)
 	a.mint(now, s.minting)
-	a.heard(c.Lender, item.Tokens > 0, now)
-	if item.Tokens > 0 {
+	a.recordLenderResult(c.Lender, grant.Tokens > 0, now)
+	if grant.Tokens > 0 {
 		a.borrowings = append(a.borrowings, borrowing{
-			lender: c.Lender, loan: item.LoanID, tokens: item.Tokens, until: c.asked.Add(LoanValidity),
+			lender: c.Lender, loanID: grant.LoanID, tokens: grant.Tokens, until: c.sentAt.Add(LoanValidity),
 		})
 	}
 	s.activate(a)
 	a.serveWaiters(s.minting, now)
-	if a.round.open--; a.round.open > 0 {
+	if a.round.openCalls--; a.round.openCalls > 0 {
 		return
 	}
-	a.nextAsk = time.Time{}
-	if item.Tokens >= w.Tokens {
+	a.nextBorrow = time.Time{}
+	if grant.Tokens >= req.Tokens {
 		a.round = round{}
 		return
 	}
-	a.round.fan = 2 * max(1, a.round.fan)
+	a.round.fanout = 2 * max(1, a.round.fanout)
 	if len(a.waiters) > 0 {
-		l.signal()
+		l.signalBorrow()
 	}
 }
 
-// ReturnAll gives every loan back, for a planned stop. The calls have to be made.
+// ReturnAll returns every loan, for a graceful shutdown. The caller has to make the
+// returned calls.
 func (l *Ledger) ReturnAll(now time.Time) []*Call {
-	p := &plan{ahead: true, anyone: true, now: now}
+	p := &plan{ahead: true, reportToAll: true, now: now}
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
 		for _, a := range s.active {
 			for _, b := range a.borrowings {
-				a.report(b.lender, LoanReport{LoanID: b.loan, Returned: b.tokens}, now)
+				a.report(b.lender, LoanReport{LoanID: b.loanID, Returned: b.tokens}, now)
 			}
 			a.borrowings = nil
 			a.flushReports(p)
@@ -347,8 +352,7 @@
 	return p.out
 }
 
-// Owes tells whether loans of a lender may still be spent here, whatever its
-// incarnation.
+// Owes reports whether loans of any incarnation of a lender may still be spent here.
 func (l *Ledger) Owes(lender string, now time.Time) bool {
 	for i := range l.shards {
 		if l.shards[i].owes(lender, now) {
--- a/coordination/quota/documents.go
+++ b/coordination/quota/documents.go
@@ -6,25 +6,25 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// Allocation is what one slot held here has of an account.
+// Allocation is what a locally held slot has of an account, and who lends its tokens.
 type Allocation struct {
-	Share     float64 // of the account's rate and burst, which the slot mints
-	EvenShare float64 // of them, if all slots had the same
+	Share     float64 // fraction of the account's rate and burst that the slot mints
+	EvenShare float64 // the fraction if all slots had the same
 	Lends     bool    // the slot's holder lends to others
-	// MinLenderShare is the least share of an instance that lends; 0 when not known.
+	// MinLenderShare is the smallest share of an instance that lends; 0 if unknown.
 	MinLenderShare float64
-	// Lenders are the ids, ordered, of all instances that lend tokens of the account; nil
-	// where all holders of slots do.
+	// Lenders are the sorted ids of all instances that lend tokens of the account; nil
+	// if all holders of slots do.
 	Lenders []string
 }
 
-// Division divides accounts over the slots of a fleet. Divisions are compared: an equal one
-// gives the same parts.
+// Division divides accounts over the slots of a fleet. It has to be comparable: equal
+// divisions give equal allocations.
 type Division interface {
 	Allocate(doc *service.Account) Allocation
 }
 
-// fleetDivision is by a fleet document: the holders of slots lend.
+// fleetDivision divides accounts by a fleet document. All holders of slots lend.
 type fleetDivision struct {
 	fleet  *service.Fleet
 	domain string
@@ -32,20 +32,20 @@
 
 // Allocate implements Division.
 func (d fleetDivision) Allocate(doc *service.Account) Allocation {
-	part := share(doc, d.fleet, d.domain)
-	return Allocation{Share: part, EvenShare: part, Lends: true}
+	fraction := share(doc, d.fleet, d.domain)
+	return Allocation{Share: fraction, EvenShare: fraction, Lends: true}
 }
 
-// Update takes in the documents in force at a configuration revision. Accounts
-// that are gone lose their tokens.
+// Update applies the documents in force at a configuration revision. Removed
+// accounts lose their tokens.
 func (l *Ledger) Update(accounts []*service.Account, fleet *service.Fleet, revision int64, now time.Time) {
 	if fleet == nil {
-		return // without it no share is known, and the first one need not wait
+		return // without it no share is known; the first share takes effect at once
 	}
 	l.Divide(accounts, fleetDivision{fleet, l.domain}, revision, now)
 }
 
-// Divide is Update where something else than a fleet document divides the accounts.
+// Divide is like Update, with a division other than that of the fleet document.
 func (l *Ledger) Divide(accounts []*service.Account, division Division, revision int64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,7 +63,7 @@
 		s.advance(now)
 		a := s.account(doc.Name, now)
 		a.mint(now, s.minting)
-		a.setPart(doc, division.Allocate(doc), revision, s.minting)
+		a.setAllocation(doc, division.Allocate(doc), revision, s.minting)
 		s.mu.Unlock()
 	}
 	if len(seen) < len(l.docs) {
@@ -80,38 +80,39 @@
 		s := l.shard(name)
 		s.mu.Lock()
 		if a, ok := s.accounts[name]; ok {
-			a.minted, a.level, a.share, a.doc = minted{}, 0, 0, nil
+			a.perSlot, a.level, a.share, a.doc = slotQuota{}, 0, 0, nil
 		}
 		s.mu.Unlock()
 	}
 }
 
-// Acknowledged says that every instance goes by the documents up to a revision:
-// those whose share shrinks have shrunk. What they lent before may still be spent,
-// so shares grow only when these loans have expired. It is called regularly.
+// Acknowledged records that every instance has applied the documents up to a
+// revision, so that every smaller share is in force. Tokens lent before that may
+// still be spent: pending shares take effect only after these loans have expired.
+// It is called regularly.
 func (l *Ledger) Acknowledged(revision int64, now time.Time) {
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
 		s.advance(now)
 		for _, a := range s.accounts {
-			if a.grownAt != 0 && a.grownAt <= revision && a.doc != nil {
-				a.grow(now, s.minting)
+			if a.pendingRevision != 0 && a.pendingRevision <= revision && a.doc != nil {
+				a.applyPendingShare(now, s.minting)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-func (a *account) grow(now time.Time, minting int) {
-	if a.growFrom.IsZero() {
-		a.growFrom = LoanExpiry(now)
+func (a *account) applyPendingShare(now time.Time, minting int) {
+	if a.pendingStart.IsZero() {
+		a.pendingStart = LoanExpiry(now)
 	}
-	if now.Before(a.growFrom) {
+	if now.Before(a.pendingStart) {
 		return
 	}
 	a.mint(now, minting)
 	a.history.note(a.headroom(minting))
-	a.share, a.grownAt = a.grown, 0
+	a.share, a.pendingRevision = a.pendingShare, 0
 	a.apply(minting)
 }
--- a/coordination/quota/history.go
+++ b/coordination/quota/history.go
@@ -3,16 +3,16 @@
 import "sort"
 
 // maxHistory bounds the memory of an account. Beyond it, older entries are merged
-// to the smallest of them, so a refund may turn out smaller, never larger.
+// into the smallest of them, which can only make a refund smaller, never larger.
 const maxHistory = 32
 
-// history answers what the smallest headroom was since a point. Minting lowers the
-// headroom, so it is noted before whatever raises it: a debit, an expired or
-// reported loan, a larger capacity. Kept are the suffix minima: headrooms rise
-// from the oldest entry to the newest.
+// history finds the smallest headroom since a point in the sequence of changes.
+// Minting lowers the headroom, so it is recorded before every change that raises it:
+// a debit, an expired or reported loan, a larger capacity. Only the suffix minima
+// are kept, so the headrooms rise from the oldest entry to the newest.
 type history struct {
 	seq     uint64
-	raised  float64 // by refunds, taken off every entry
+	raised  float64 // sum of the refunds, subtracted from every entry
 	entries []headroomAt
 }
 
@@ -21,7 +21,7 @@
 	headroom float64 // with raised added
 }
 
-// note enters the present headroom and returns the point after it.
+// note records the current headroom and returns the point after it.
 func (h *history) note(headroom float64) uint64 {
 	value := headroom + h.raised
 	for n := len(h.entries); n > 0 && h.entries[n-1].headroom >= value; n = len(h.entries) {
@@ -35,14 +35,14 @@
 	return h.seq
 }
 
-// merge puts the smallest headroom in place of the older half.
+// merge replaces the older half of the entries by the smallest of them.
 func (h *history) merge() {
 	half := len(h.entries) / 2
 	merged := headroomAt{seq: h.entries[half-1].seq, headroom: h.entries[0].headroom}
 	h.entries = append([]headroomAt{merged}, h.entries[half:]...)
 }
 
-// since returns the smallest headroom from a point to now.
+// since returns the smallest headroom since a point, given the current headroom now.
 func (h *history) since(seq uint64, now float64) float64 {
 	i := sort.Search(len(h.entries), func(i int) bool { return h.entries[i].seq >= seq })
 	if i < len(h.entries) {
@@ -51,6 +51,7 @@
 	return max(0, now)
 }
 
-// raise enters that a refund made the bucket fuller over the whole past. For
-// points before the refunded charge that is more than needed, on the safe side.
+// raise subtracts a refund from all recorded headrooms, as if the bucket had always
+// been fuller. For points before the refunded charge that is more than needed, which
+// errs on the safe side.
 func (h *history) raise(tokens float64) { h.raised += tokens }
--- a/coordination/quota/lender.go
+++ b/coordination/quota/lender.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// loan is what was lent and is not reported yet. It fills the capacity.
+// loan is a granted loan with the tokens that are not reported yet. They occupy
+// capacity.
 type loan struct {
-	id     uint64 // point of the history at which it was lent
+	id     uint64 // point in the history at which it was granted
 	tokens float64
 	until  time.Time
 }
@@ -19,67 +20,67 @@
 	Tokens  float64
 }
 
-// LoanGrant answers a Want.
+// LoanGrant is the answer to a LoanRequest.
 type LoanGrant struct {
 	Account string
 	Tokens  float64
 	LoanID  uint64
 }
 
-// LoanReport says what became of a loan since the last report.
+// LoanReport says how the tokens of a loan were used since the last report.
 type LoanReport struct {
 	Account  string
 	LoanID   uint64
-	Spent    float64 // admitted: it no longer fills the lender's capacity
-	Returned float64 // neither spent nor to be spent
-	Refunded float64 // admitted before, but not used
+	Spent    float64 // on admitted requests; they no longer occupy the lender's capacity
+	Returned float64 // unspent, and no longer available to the borrower
+	Refunded float64 // reported as spent before, but not used
 }
 
-// mostLent is the part of the capacity that may be lent at a time. The rest is what a
-// restarted instance may use at once, while what its predecessor lent may still be
-// spent: together they are no more than the capacity.
-const mostLent = 0.75
+// maxLentFraction is the fraction of the capacity that may be lent at a time. A restarted
+// instance may use the rest at once, while tokens that its earlier incarnation lent may still
+// be spent: together they do not exceed the capacity.
+const maxLentFraction = 0.75
 
-// reserveFor is how much of its own demand a lender keeps.
-const reserveFor = 200 * time.Millisecond
+// reservePeriod is the period for which a lender keeps enough tokens for its local demand.
+const reservePeriod = 200 * time.Millisecond
 
-// Lend takes in the borrower's reports and answers its wants. The tokens are
-// debited before the answer leaves: a lost answer loses tokens and never makes any.
-func (l *Ledger) Lend(wants []LoanRequest, reports []LoanReport, now time.Time) []LoanGrant {
+// Lend applies a borrower's reports and answers its requests. Tokens are debited
+// before the answer is sent, so a lost answer loses tokens and never creates any.
+func (l *Ledger) Lend(requests []LoanRequest, reports []LoanReport, now time.Time) []LoanGrant {
 	for _, r := range reports {
-		l.takeReport(r, now)
+		l.applyReport(r, now)
 	}
-	out := make([]LoanGrant, 0, len(wants))
-	for _, w := range wants {
-		out = append(out, l.lend(w, now))
+	out := make([]LoanGrant, 0, len(requests))
+	for _, req := range requests {
+		out = append(out, l.lend(req, now))
 	}
 	return out
 }
 
-func (l *Ledger) lend(w LoanRequest, now time.Time) LoanGrant {
-	s := l.shard(w.Account)
+func (l *Ledger) lend(req LoanRequest, now time.Time) LoanGrant {
+	s := l.shard(req.Account)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance(now)
-	a, ok := s.accounts[w.Account]
-	if !ok || !(w.Tokens > 0) {
-		return LoanGrant{Account: w.Account}
+	a, ok := s.accounts[req.Account]
+	if !ok || !(req.Tokens > 0) {
+		return LoanGrant{Account: req.Account}
 	}
 	a.mint(now, s.minting)
 	if len(a.waiters) > 0 {
-		return LoanGrant{Account: w.Account}
+		return LoanGrant{Account: req.Account}
 	}
-	tokens := math.Floor(min(w.Tokens, a.level-a.demand*reserveFor.Seconds(), a.lendable(s.minting))) // loans travel as whole tokens
+	tokens := math.Floor(min(req.Tokens, a.level-a.demandRate*reservePeriod.Seconds(), a.lendable(s.minting))) // loans are whole tokens on the wire
 	if tokens < 1 {
-		return LoanGrant{Account: w.Account}
+		return LoanGrant{Account: req.Account}
 	}
 	id := a.debit(tokens, s.minting)
 	a.lent += tokens
 	a.loans = append(a.loans, loan{id: id, tokens: tokens, until: LoanExpiry(now)})
-	return LoanGrant{Account: w.Account, Tokens: tokens, LoanID: id}
+	return LoanGrant{Account: req.Account, Tokens: tokens, LoanID: id}
 }
 
-func (l *Ledger) takeReport(r LoanReport, now time.Time) {
+func (l *Ledger) applyReport(r LoanReport, now time.Time) {
 	s := l.shard(r.Account)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,11 +92,11 @@
 	a.mint(now, s.minting)
 	a.history.note(a.headroom(s.minting))
 	if open := a.openLoan(r.LoanID); open != nil {
-		a.lent -= open.take(r.Spent)
-		back := open.take(r.Returned)
+		a.lent -= open.reduce(r.Spent)
+		back := open.reduce(r.Returned)
 		a.lent -= back
 		a.level += back
-		a.clamp(s.minting) // the slot that it was minted for may be lost
+		a.clamp(s.minting) // the slot that minted them may no longer be held
 	}
 	a.refund(r.Refunded, r.LoanID, s.minting)
 }
@@ -108,8 +109,8 @@
 	return &a.loans[i]
 }
 
-// take reduces what is open of a loan and returns by how much.
-func (l *loan) take(tokens float64) float64 {
+// reduce takes up to the given tokens off the open part of a loan and returns how many.
+func (l *loan) reduce(tokens float64) float64 {
 	tokens = max(0, min(tokens, l.tokens))
 	l.tokens -= tokens
 	return tokens
--- a/coordination/quota/plan.go
+++ b/coordination/quota/plan.go
@@ -7,27 +7,27 @@
 	"github.com/basilroute/basilroute/coordination/slots"
 )
 
-// plan collects the calls of one look at the accounts. Most looks find nothing to ask and
-// nothing to report, so what costs something for each holder is made when it is first needed.
+// plan collects the calls of one scan of the accounts. Most scans find nothing to request or
+// report, so the structures whose cost grows with the holders are built on first use.
 type plan struct {
-	holders []slots.Member // may be called, in the order in which they are asked
-	anyone  bool           // reports go to those too that are not among the holders
-	ahead   bool           // accounts borrow ahead, and reports are due
-	now     time.Time
+	holders     []slots.Member // that may be called, in order of preference
+	reportToAll bool           // reports also go to lenders that are not among the holders
+	ahead       bool           // accounts borrow ahead, and reports are due
+	now         time.Time
 
-	known map[slots.Member]bool // the holders
-	calls map[slots.Member]*Call
-	out   []*Call
+	holderSet map[slots.Member]bool // of holders
+	calls     map[slots.Member]*Call
+	out       []*Call
 }
 
 func (p *plan) isHolder(m slots.Member) bool {
-	if p.known == nil {
-		p.known = make(map[slots.Member]bool, len(p.holders))
+	if p.holderSet == nil {
+		p.holderSet = make(map[slots.Member]bool, len(p.holders))
 		for _, h := range p.holders {
-			p.known[h] = true
+			p.holderSet[h] = true
 		}
 	}
-	return p.known[m]
+	return p.holderSet[m]
 }
 
 // call returns the call to a lender.
@@ -39,64 +39,64 @@
 	if p.calls == nil {
 		p.calls = make(map[slots.Member]*Call)
 	}
-	c = &Call{Lender: lender, asked: p.now}
+	c = &Call{Lender: lender, sentAt: p.now}
 	p.calls[lender] = c
 	p.out = append(p.out, c)
 	return c
 }
 
-// reportTo returns the call that takes a report to a lender now, nil when none is made.
+// reportTo returns the call that a report to a lender is added to, or nil if none is made now.
 func (p *plan) reportTo(lender slots.Member) *Call {
 	if c := p.calls[lender]; c != nil {
 		return c
 	}
-	if p.ahead && (p.anyone || p.isHolder(lender)) {
+	if p.ahead && (p.reportToAll || p.isHolder(lender)) {
 		return p.call(lender)
 	}
 	return nil
 }
 
-// dryFor is how long a lender that had nothing of an account is asked last. In a region's
-// peak all near lenders are short: asked in turn each time, they would take up the time that
-// a request may wait.
-const dryFor = 800 * time.Millisecond
+// exhaustedTTL is how long a lender that had no tokens of an account is asked last. In a
+// region's traffic spike all near lenders are out of tokens, and asking them in turn each time
+// would use up the time that a request may wait.
+const exhaustedTTL = 800 * time.Millisecond
 
-// dryLender is one that had nothing of an account.
-type dryLender struct {
+// exhaustedLender is a lender that had no tokens of an account.
+type exhaustedLender struct {
 	lender slots.Member
 	until  time.Time
 }
 
-// heard takes in whether a lender had tokens of the account.
-func (a *account) heard(lender slots.Member, had bool, now time.Time) {
-	a.dry = slices.DeleteFunc(a.dry, func(d dryLender) bool { return d.lender == lender || !now.Before(d.until) })
+// recordLenderResult records whether a lender had tokens of the account.
+func (a *account) recordLenderResult(lender slots.Member, had bool, now time.Time) {
+	a.exhausted = slices.DeleteFunc(a.exhausted, func(d exhaustedLender) bool { return d.lender == lender || !now.Before(d.until) })
 	if !had {
-		a.dry = append(a.dry, dryLender{lender, now.Add(dryFor)})
+		a.exhausted = append(a.exhausted, exhaustedLender{lender, now.Add(exhaustedTTL)})
 	}
 }
 
-func (a *account) isDry(lender slots.Member, now time.Time) bool {
-	return slices.ContainsFunc(a.dry, func(d dryLender) bool { return d.lender == lender && now.Before(d.until) })
+func (a *account) isExhausted(lender slots.Member, now time.Time) bool {
+	return slices.ContainsFunc(a.exhausted, func(d exhaustedLender) bool { return d.lender == lender && now.Before(d.until) })
 }
 
-// askable returns those who may lend tokens of the account and were not asked in this round,
-// those who just had none last.
-func (a *account) askable(p *plan) []slots.Member {
-	var able, dry []slots.Member
-	for _, m := range p.holders {
-		if !a.lentBy(m.ID) || slices.Contains(a.round.asked, m) || slices.Contains(able, m) || slices.Contains(dry, m) {
+// candidates returns the lenders of the account that were not asked in this round, with
+// exhausted ones last.
+func (a *account) candidates(p *plan) []slots.Member {
+	var available, exhausted []slots.Member
+	for _, lender := range p.holders {
+		if !a.isLender(lender.ID) || slices.Contains(a.round.askedLenders, lender) || slices.Contains(available, lender) || slices.Contains(exhausted, lender) {
 			continue
 		}
-		if a.isDry(m, p.now) {
-			dry = append(dry, m)
+		if a.isExhausted(lender, p.now) {
+			exhausted = append(exhausted, lender)
 			continue
 		}
-		able = append(able, m)
+		available = append(available, lender)
 	}
-	return append(able, dry...)
+	return append(available, exhausted...)
 }
 
-func (a *account) lentBy(id string) bool {
+func (a *account) isLender(id string) bool {
 	if a.lenders == nil {
 		return true
 	}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -1,15 +1,15 @@
 // Package quota keeps every client account within its rate and burst, summed
 // over all instances.
 //
-// An account's rate and burst are split over failure domains by the shares of
-// its document, and each domain's part evenly over the domain's slots. The holder
-// of a slot mints that part into a bucket that starts empty. Minted tokens move
-// to where the demand is as loans: the lender debits them before it answers, and
-// until they are reported spent or have expired they still fill its capacity.
+// An account's rate and burst are divided over failure domains by the shares of
+// its document, and each domain's share evenly over the domain's slots. The holder
+// of a slot mints that share into a token bucket that starts empty. Minted tokens
+// move to where the demand is as loans: the lender debits them before it answers,
+// and until they are reported spent or have expired they still occupy its capacity.
 //
-// So, for each account, the tokens that can be admitted without minting (buckets
-// and open loans) never exceed the burst, and grow by minting only. That bounds
-// every window T by rate*T + burst.
+// For each account, the tokens that can be spent without further minting (buckets
+// and open loans) therefore never exceed the burst, and grow by minting only. In
+// every window of length T at most rate*T + burst tokens are admitted.
 //
 // The package does no I/O: the time comes in with each call.
 package quota
@@ -28,50 +28,51 @@
 	shardCount = 16
 
 	// LoanValidity is how long a loan may be spent. The borrower counts it from
-	// when it asked, the lender, with slots.WithDrift, from when it lent.
+	// the time of its request, the lender, with slots.WithDrift, from the time of
+	// the grant.
 	LoanValidity = 3 * time.Second
 )
 
-// LoanExpiry returns when a loan lent at a time has expired for every borrower.
+// LoanExpiry returns when a loan granted at the time lent has expired for every borrower.
 func LoanExpiry(lent time.Time) time.Time { return lent.Add(slots.WithDrift(LoanValidity)) }
 
 // Ledger admits requests against the tokens that this instance may give out.
 // It is safe for concurrent use.
 type Ledger struct {
-	domain string
-	shards [shardCount]shard
-	wanted chan struct{} // signalled when a request waits
-	pass   bool          // small requests pass large ones that wait
+	domain       string
+	shards       [shardCount]shard
+	borrowNeeded chan struct{} // see BorrowNeeded
+	overtaking   bool          // small requests overtake large waiting ones
 
-	mu        sync.Mutex
-	nextAhead time.Time         // when tokens are next borrowed ahead of need
-	epochs    map[int]uint64    // latest epoch held, by slot
-	from      map[int]time.Time // when that epoch begins to mint
-	division  Division
-	docs      map[string]*service.Account
+	mu              sync.Mutex
+	nextBorrowAhead time.Time         // when tokens are next borrowed ahead of need
+	epochs          map[int]uint64    // latest epoch held, by slot
+	mintFrom        map[int]time.Time // when that epoch begins to mint
+	division        Division
+	docs            map[string]*service.Account
 }
 
-// shard holds a part of the accounts and its own copy of the slots held, so that
-// no admission uses a slot that another goroutine has just seen lost.
+// shard holds some of the accounts. It has its own copy of the held slots, so that
+// no admission uses a slot that another goroutine has just recorded as lost.
 type shard struct {
 	mu          sync.Mutex
 	grants      []grant
-	minting     int       // slots that mint now
-	change      time.Time // when minting changes next; zero for never
+	minting     int       // number of slots that mint now
+	nextChange  time.Time // when minting changes next; zero for never
 	accounts    map[string]*account
 	provisional bool
 	active      []*account // accounts with demand, loans or waiters
 }
 
-// grant is a slot with the time in which it mints.
+// grant is the period in which a held slot mints.
 type grant struct{ from, until time.Time }
 
-// New returns a ledger of an instance of a failure domain. It mints nothing until
-// it holds slots and knows the documents.
+// New returns the ledger of an instance of a failure domain. It mints nothing before
+// SetHeldSlots and Update.
 func New(domain string) *Ledger {
 	l := &Ledger{
-		domain: domain, pass: true, wanted: make(chan struct{}, 1), epochs: make(map[int]uint64),
-		from: make(map[int]time.Time), docs: make(map[string]*service.Account),
+		domain: domain, overtaking: true, borrowNeeded: make(chan struct{}, 1), epochs: make(map[int]uint64),
+		mintFrom: make(map[int]time.Time), docs: make(map[string]*service.Account),
 	}
 	for i := range l.shards {
 		l.shards[i].accounts = make(map[string]*account)
@@ -81,17 +82,18 @@
 
 // DisablePassing makes small requests wait behind large ones. It is called before the
 // ledger is used.
-func (l *Ledger) DisablePassing() { l.pass = false }
+func (l *Ledger) DisablePassing() { l.overtaking = false }
 
 func (l *Ledger) shard(name string) *shard {
 	return &l.shards[xxhash.Sum64String(name)%shardCount]
 }
 
-// SetHeldSlots takes in the slots that this instance may mint for.
+// SetHeldSlots sets the slots that this instance may mint for.
 //
-// The former holder of a slot may have lent just before it stopped, and these
-// loans still fill the slot's part of the burst. A slot with a new epoch
-// therefore mints only when they have expired; a slot's first epoch has none.
+// The former holder of a slot may have lent tokens just before it lost the slot,
+// and these loans still occupy the slot's share of the burst. A slot with a new
+// epoch therefore mints only after they have expired. A slot's first epoch has no
+// former holder.
 func (l *Ledger) SetHeldSlots(held []slots.HeldSlot, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,12 +101,12 @@
 	for i, h := range held {
 		if l.epochs[h.Slot] != h.Epoch {
 			l.epochs[h.Slot] = h.Epoch
-			l.from[h.Slot] = now
+			l.mintFrom[h.Slot] = now
 			if h.Epoch > 1 {
-				l.from[h.Slot] = LoanExpiry(now)
+				l.mintFrom[h.Slot] = LoanExpiry(now)
 			}
 		}
-		grants[i] = grant{from: l.from[h.Slot], until: h.Until}
+		grants[i] = grant{from: l.mintFrom[h.Slot], until: h.Until}
 	}
 	for i := range l.shards {
 		s := &l.shards[i]
@@ -116,12 +118,11 @@
 	}
 }
 
-// SetProvisional says that loans of a predecessor may be unspent. Until then an
-// instance that mints the same part again holds no more than the rest of the
-// capacity that its predecessor could not lend, and lends nothing, so that a further
-// restart leaves no loans beside the first ones. Without it a restarted instance has
-// to wait for the loans' end before it mints at all, and after a restart of the whole
-// fleet every account is refused for that time.
+// SetProvisional sets whether loans of an earlier incarnation may be unspent. While they
+// may, the bucket holds only the fraction of the capacity that could not be lent, and the
+// instance lends nothing, so that a further restart adds no loans to the first ones.
+// Without this state a restarted instance could not mint before the loans have expired, and
+// after a restart of the whole fleet every account would be refused for that time.
 func (l *Ledger) SetProvisional(provisional bool, now time.Time) {
 	for i := range l.shards {
 		s := &l.shards[i]
@@ -138,15 +139,15 @@
 	}
 }
 
-// advance brings the shard to now through every change of the slots that mint.
+// advance brings the shard up to now through every change of the number of minting slots.
 func (s *shard) advance(now time.Time) {
-	for !s.change.IsZero() && !now.Before(s.change) {
-		s.recount(s.change)
+	for !s.nextChange.IsZero() && !now.Before(s.nextChange) {
+		s.recount(s.nextChange)
 	}
 }
 
-// recount sets what mints from a time on. Every account is brought there first,
-// since what it minted and may keep before depends on the former number.
+// recount updates the number of slots that mint from the given time on. It first
+// mints every account up to that time with the former number.
 func (s *shard) recount(at time.Time) {
 	minting, change := 0, time.Time{}
 	soonest := func(t time.Time) {
@@ -161,7 +162,7 @@
 		soonest(g.from)
 		soonest(g.until)
 	}
-	s.change = change
+	s.nextChange = change
 	if minting == s.minting {
 		return
 	}
@@ -173,40 +174,40 @@
 	s.minting = minting
 }
 
-// account returns the account's state, made at its first use.
+// account returns the account's state, created on first use.
 func (s *shard) account(name string, now time.Time) *account {
 	a, ok := s.accounts[name]
 	if !ok {
-		a = &account{name: name, at: now, provisional: s.provisional}
+		a = &account{name: name, mintedUntil: now, provisional: s.provisional}
 		s.accounts[name] = a
 	}
 	return a
 }
 
-// Charge is what a request was charged with. It has to be settled once.
+// Charge is what a request was charged. It has to be settled once.
 type Charge struct {
-	Account string
-	Tokens  float64
-	own     float64 // of the own bucket
-	seq     uint64  // of the own bucket's history
-	loans   []loanPart
+	Account    string
+	Tokens     float64
+	fromBucket float64 // tokens of the local bucket
+	seq        uint64  // point in the bucket's history at the debit
+	loans      []loanPayment
 }
 
-// loanPart is the part of a charge that was paid by a loan.
-type loanPart struct {
+// loanPayment is the part of a charge that was taken from a loan.
+type loanPayment struct {
 	lender slots.Member
-	loan   uint64
+	loanID uint64
 	tokens float64
 }
 
-// passFactor is how many times smaller than the first one that waits a request has to
-// be to pass those that wait. Behind a long prompt that waits for loans an order of a few
-// tokens would be refused though its tokens are there. Short prompts stay behind long ones:
-// they would use up what these wait for.
-const passFactor = 10
+// overtakeFactor is how many times smaller than the first waiting request a request has to
+// be to overtake the queue. Otherwise an order of a few tokens behind a long prompt that waits
+// for loans would be refused although its tokens are available. Short prompts do not overtake
+// long ones, since they would use up the tokens that those wait for.
+const overtakeFactor = 10
 
-// Admit takes tokens for a request, from loans first since these expire. One that is
-// not small fails while other requests of the account wait for tokens.
+// Admit charges a request, from loans first since these expire. It fails if the tokens are
+// not available, and, unless the request is small, while others of the account wait.
 func (l *Ledger) Admit(name string, tokens float64, now time.Time) (Charge, bool) {
 	s := l.shard(name)
 	s.mu.Lock()
@@ -215,15 +216,15 @@
 	a := s.account(name, now)
 	a.mint(now, s.minting)
 	s.activate(a)
-	a.asked += tokens
-	a.requests++
-	if len(a.waiters) > 0 && (!l.pass || passFactor*tokens > a.waiters[0].tokens) {
+	a.requestedSinceTick += tokens
+	a.requestsSinceTick++
+	if len(a.waiters) > 0 && (!l.overtaking || overtakeFactor*tokens > a.waiters[0].tokens) {
 		return Charge{}, false
 	}
 	return a.charge(tokens, now, s.minting)
 }
 
-// Settle gives back what a request did not use. used is at most what was charged.
+// Settle refunds the tokens that a request did not use. used is at most c.Tokens.
 func (l *Ledger) Settle(c Charge, used float64, now time.Time) {
 	refund := c.Tokens - used
 	if refund <= 0 {
@@ -238,9 +239,9 @@
 		return
 	}
 	a.mint(now, s.minting)
-	own := min(refund, c.own)
-	a.refund(own, c.seq, s.minting)
-	a.reportRefund(c.loans, refund-own, now)
+	bucketRefund := min(refund, c.fromBucket)
+	a.refund(bucketRefund, c.seq, s.minting)
+	a.reportRefund(c.loans, refund-bucketRefund, now)
 	s.activate(a)
 }
 
@@ -251,7 +252,7 @@
 	}
 }
 
-// Available returns the tokens that the account could be charged here now.
+// Available returns the tokens that the account could be charged now at this instance.
 func (l *Ledger) Available(name string, now time.Time) float64 {
 	s := l.shard(name)
 	s.mu.Lock()
@@ -265,7 +266,7 @@
 	return a.level + a.borrowed(now)
 }
 
-// MintingSlots returns how many slots mint here now.
+// MintingSlots returns the number of held slots that mint now.
 func (l *Ledger) MintingSlots(now time.Time) int {
 	s := &l.shards[0]
 	s.mu.Lock()
--- a/coordination/quota/start_test.go
+++ b/coordination/quota/start_test.go
@@ -8,20 +8,20 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// All instances restart at once. A caller who comes back in the same moment reaches one that
-// has not heard yet which part it mints, and all whose tokens it could borrow restart too.
-// Refused at once it would have used up its attempts beside an account that is nearly idle;
-// its request waits for the part instead, which comes within its limit.
+// Guards against refusals of a nearly idle account right after all instances have restarted.
+// The instance does not know its share yet and has nobody to borrow from, so an immediate
+// refusal would use up the caller's attempts. The request has to wait for the share, which
+// arrives within its limit.
 func TestRequestWaitsForTheStart(t *testing.T) {
 	l := New("d0")
 	l.SetProvisional(true, start)
 	w := l.Wait("acme", 2, 400*time.Millisecond, start)
-	l.Plan(nil, start) // there is nobody to ask
+	l.Plan(nil, start) // there are no lenders
 	now := start.Add(100 * time.Millisecond)
 	l.Tick(100*time.Millisecond, now)
 	select {
 	case v := <-w.Done:
-		t.Fatalf("decided before the part is known: %+v", v)
+		t.Fatalf("decided before the share is known: %+v", v)
 	default:
 	}
 	l.Update([]*service.Account{acme(testRate, testBurst, map[string]int64{"d0": 1})}, oneSlot, 1, now)
@@ -32,21 +32,21 @@
 	select {
 	case v := <-w.Done:
 		if !v.OK {
-			t.Error("refused though its part has come")
+			t.Error("refused although the share is known")
 		}
 	default:
-		t.Error("still waits though its part has come")
+		t.Error("still waits although the share is known")
 	}
 }
 
-// The instance has not learned the account's rate when the request's limit ends. Its caller
-// was told to come back in an hour, as if the account had no tokens at all.
-func TestUnknownRateIsToldAShortTime(t *testing.T) {
+// Guards against a Retry-After of an hour, as for an account with a rate of zero, when the
+// instance has not received the account's document before the request's limit ends.
+func TestUnknownRateGivesShortRetryAfter(t *testing.T) {
 	l := New("d0")
 	l.SetProvisional(true, start)
 	w := l.Wait("acme", 2, 400*time.Millisecond, start)
 	l.Tick(time.Second, start.Add(time.Second))
 	if v := <-w.Done; v.OK || v.RetryAfter > time.Second {
-		t.Errorf("%+v", v)
+		t.Errorf("decision %+v, want a refusal with a Retry-After of at most a second", v)
 	}
 }
--- a/coordination/quota/waiter.go
+++ b/coordination/quota/waiter.go
@@ -6,30 +6,31 @@
 type Decision struct {
 	OK         bool
 	Charge     Charge
-	RetryAfter time.Duration // when it was refused: when the account may have the tokens
+	RetryAfter time.Duration // of a refusal
 }
 
 // Waiter is a request that waits for minting or a loan.
 type Waiter struct {
-	Done chan Decision // receives one verdict
+	Done chan Decision // receives one decision
 
 	account  string
 	tokens   float64
 	deadline time.Time
 }
 
-// BorrowNeeded is signalled when a request waits, so that a loan is asked for at once.
-func (l *Ledger) BorrowNeeded() <-chan struct{} { return l.wanted }
+// BorrowNeeded is signalled when waiting requests need loans, so that Plan is called at once.
+func (l *Ledger) BorrowNeeded() <-chan struct{} { return l.borrowNeeded }
 
-func (l *Ledger) signal() {
+func (l *Ledger) signalBorrow() {
 	select {
-	case l.wanted <- struct{}{}:
+	case l.borrowNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// Wait queues a request behind the account's others until Tick or a loan decides.
-// It is refused as soon as it is plain that the tokens cannot come in time.
+// Wait queues a request behind the account's others. It is granted when minting or a
+// loan brings the tokens, and refused as soon as it is certain that they will not be
+// available within the limit.
 func (l *Ledger) Wait(name string, tokens float64, limit time.Duration, now time.Time) *Waiter {
 	s := l.shard(name)
 	s.mu.Lock()
@@ -42,12 +43,12 @@
 	s.activate(a)
 	a.serveWaiters(s.minting, now)
 	if len(a.waiters) > 0 {
-		l.signal()
+		l.signalBorrow()
 	}
 	return w
 }
 
-// Abandon ends the wait of a request whose caller has gone.
+// Abandon ends the wait of a request whose caller has disconnected.
 func (l *Ledger) Abandon(w *Waiter, now time.Time) {
 	s := l.shard(w.account)
 	s.mu.Lock()
@@ -66,7 +67,7 @@
 	}
 }
 
-func (a *account) queued() float64 {
+func (a *account) queuedTokens() float64 {
 	total := 0.0
 	for _, w := range a.waiters {
 		total += w.tokens
@@ -74,8 +75,8 @@
 	return total
 }
 
-// serveWaiters grants in the order of arrival and refuses what cannot be granted
-// in time. A refusal may leave enough for those behind.
+// serveWaiters grants requests in the order of arrival and refuses those that cannot
+// be granted in time. A refusal may leave enough tokens for the requests behind it.
 func (a *account) serveWaiters(minting int, now time.Time) {
 	a.grantWaiters(minting, now)
 	if a.refuseLate(now) {
@@ -95,22 +96,22 @@
 	}
 }
 
-// refuseLate refuses each waiter whose tokens come too late. While lenders are
-// left to ask, that is at its limit; once all of them were dry the fleet mints no
-// more than the account's rate, so the time to come back is known and the
-// refusal need not wait. An instance that has just started knows neither its part nor
-// its lenders: it learns them within some tenths of a second, and until then no refusal
-// is certain.
+// refuseLate refuses each waiter whose tokens will come too late. While there are
+// lenders left to ask, that is known only at the waiter's deadline. Once all of them
+// are exhausted, no more tokens come than the account's rate mints in the whole
+// fleet, so the refusal and its Retry-After are known at once. An instance that has
+// just started learns its share and its lenders within some tenths of a second;
+// until then, while it is provisional, no request is refused before its deadline.
 func (a *account) refuseLate(now time.Time) (refused bool) {
 	before := len(a.waiters)
 	kept := a.waiters[:0]
 	missing := -a.level - a.borrowed(now)
 	for _, w := range a.waiters {
 		missing += w.tokens
-		comes := a.comesIn(missing)
-		late := now.Add(comes).After(w.deadline) && a.round.exhausted(now) && !a.provisional
+		refill := a.refillTime(missing)
+		late := now.Add(refill).After(w.deadline) && a.round.exhausted(now) && !a.provisional
 		if late || !now.Before(w.deadline) {
-			w.Done <- Decision{RetryAfter: a.comeBack(w.tokens, comes, now)}
+			w.Done <- Decision{RetryAfter: a.retryAfter(w.tokens, refill, now)}
 			missing -= w.tokens
 			continue
 		}
@@ -122,57 +123,59 @@
 }
 
 const (
-	leastRetryAfter = 50 * time.Millisecond
-	mostRetryAfter  = time.Hour
-	// unknownRetryAfter is told while the account's rate is not known here, as after a
-	// start: by then the configuration and the own part have come.
-	unknownRetryAfter = 500 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = time.Hour
+	// unknownRateRetryAfter is used while the account's rate is not known, as after a
+	// start. It is long enough to receive the configuration and the local share.
+	unknownRateRetryAfter = 500 * time.Millisecond
 )
 
-// comesIn is how long the account's whole rate takes for some tokens.
-func (a *account) comesIn(tokens float64) time.Duration {
+// refillTime returns how long it takes to mint the tokens at the account's whole rate.
+func (a *account) refillTime(tokens float64) time.Duration {
 	switch {
 	case a.doc == nil:
-		return unknownRetryAfter
+		return unknownRateRetryAfter
 	case a.doc.Rate <= 0:
-		return mostRetryAfter
+		return maxRetryAfter
 	}
-	wait := time.Duration(min(tokens/a.doc.Rate, mostRetryAfter.Seconds()) * float64(time.Second))
-	return max(leastRetryAfter, wait)
+	wait := time.Duration(min(tokens/a.doc.Rate, maxRetryAfter.Seconds()) * float64(time.Second))
+	return max(minRetryAfter, wait)
 }
 
 const (
-	// comebackShare is the part of what the account is admitted here that is kept for
-	// those who come back.
-	comebackShare = 0.25
-	// comebackMost is the longest time that is told beyond what the account's own rate
-	// takes: an offender's callers are better told again.
-	comebackMost = 5 * time.Second
+	// retryFraction is the fraction of the account's locally admitted rate at which
+	// retries of refused requests are spread.
+	retryFraction = 0.25
+	// maxRetryQueueDelay bounds the Retry-After where the account's rate alone gives a
+	// shorter one. For an account far beyond its rate a further refusal is better than
+	// a longer delay.
+	maxRetryQueueDelay = 5 * time.Second
 )
 
-// comeBack tells a refused request when to come back: at the least when the account could
-// have the tokens, and behind those told before it at the pace at which this instance
-// could admit them. Told the account's whole rate, all who were refused at once came back
-// within a tenth of a second of each other, and all but one were refused again.
-func (a *account) comeBack(tokens float64, least time.Duration, now time.Time) time.Duration {
-	rate := comebackShare * a.admitted
+// retryAfter returns the Retry-After of a refused request: at least minWait, the time in
+// which the account could have the tokens, and after the times given to earlier refusals,
+// spaced by the rate at which this instance could admit them. With the account's whole rate
+// instead, callers that were refused at the same moment retried within a tenth of a second
+// of each other, and all but one were refused again.
+func (a *account) retryAfter(tokens float64, minWait time.Duration, now time.Time) time.Duration {
+	rate := retryFraction * a.admittedRate
 	if a.doc != nil {
-		rate = max(rate, a.doc.Rate*a.even)
+		rate = max(rate, a.doc.Rate*a.evenShare)
 	}
-	earliest := now.Add(least)
-	if a.toldNext.Before(earliest) {
-		a.toldNext = earliest
+	earliest := now.Add(minWait)
+	if a.nextRetry.Before(earliest) {
+		a.nextRetry = earliest
 	}
-	wait := min(a.toldNext.Sub(now), max(comebackMost, least))
+	wait := min(a.nextRetry.Sub(now), max(maxRetryQueueDelay, minWait))
 	if rate > 0 {
-		behind := min(tokens/rate, comebackMost.Seconds())
-		a.toldNext = now.Add(wait + time.Duration(behind*float64(time.Second)))
+		behind := min(tokens/rate, maxRetryQueueDelay.Seconds())
+		a.nextRetry = now.Add(wait + time.Duration(behind*float64(time.Second)))
 	}
 	return wait
 }
 
-// Tick serves the requests that wait and updates the averages. It is called
-// several times a second.
+// Tick serves waiting requests and updates the averages. It is called several times
+// a second.
 func (l *Ledger) Tick(elapsed time.Duration, now time.Time) {
 	for i := range l.shards {
 		s := &l.shards[i]
