--- a/coordination/slots/granter.go
+++ b/coordination/slots/granter.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// granted is what this instance has promised and consented to for one slot.
-type granted struct {
+// commitment is what this instance has promised and consented to for one slot.
+type commitment struct {
 	promisedUntil time.Time
 	consentedSeq  uint64
 }
 
-// promise binds this instance not to consent before the promise has run out on
-// the asker's clock: it counts from its answer, the asker from when it asked.
-func (g *granted) promise(seq uint64, valid time.Duration, now time.Time) bool {
+// promise binds this instance not to consent until the promise has expired by the
+// requester's clock. This instance counts its validity from the answer, the requester
+// from the request.
+func (g *commitment) promise(seq uint64, valid time.Duration, now time.Time) bool {
 	if seq <= g.consentedSeq {
 		return false
 	}
@@ -18,8 +19,9 @@
 	return true
 }
 
-// consent is final for a version: no promise for it follows.
-func (g *granted) consent(seq uint64, now time.Time) (wait time.Duration, ok bool) {
+// consent records a consent unless a promise is valid. It is final for a version:
+// no promise for it follows.
+func (g *commitment) consent(seq uint64, now time.Time) (wait time.Duration, ok bool) {
 	if now.Before(g.promisedUntil) {
 		return g.promisedUntil.Sub(now), false
 	}
@@ -27,23 +29,23 @@
 	return 0, true
 }
 
-// HandlePromiseRequest answers a holder that asks for a promise. valid is 0 when refused.
+// HandlePromiseRequest answers a holder's request for a promise. valid is 0 if it is refused.
 func (m *Machine) HandlePromiseRequest(slot int, seq uint64, now time.Time) (valid time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if slot < 0 || slot >= len(m.slots) || !m.slots[slot].granted.promise(seq, m.settings.Promise, now) {
+	if slot < 0 || slot >= len(m.slots) || !m.slots[slot].commitment.promise(seq, m.settings.Promise, now) {
 		return 0
 	}
 	return m.settings.Promise
 }
 
-// HandleConsentRequest answers a member that wants to take a slot. When refused, wait is
-// how long the promise in the way lasts.
+// HandleConsentRequest answers a member that wants to take a slot. If it is refused because
+// of a promise, wait is how long that promise is still valid.
 func (m *Machine) HandleConsentRequest(slot int, seq uint64, now time.Time) (wait time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if slot < 0 || slot >= len(m.slots) || m.slots[slot].held != nil {
 		return 0, false
 	}
-	return m.slots[slot].granted.consent(seq, now)
+	return m.slots[slot].commitment.consent(seq, now)
 }
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// mintsUntil returns until when the holder may mint: to the end of its lease or
-// of its promises, whichever is later, and never past the lapse.
+// mintDeadline returns until when this instance may mint as the holder: the end of
+// its lease or of its promises, whichever is later, and never past the slot's expiry.
 //
-// While the outcome of a renewal is open, either list may be the one that a taker
-// goes by, so the promises of both are needed. With the newer list ignored, a
-// taker that collects consents from it and the holder with promises of the older
-// would both mint.
-func (s *slot) mintsUntil() time.Time {
+// While the outcome of a renewal is open, the store may have either list, so promises
+// from both are needed. If the newer list were ignored, a member that takes the slot
+// with consents from that list and the holder with promises from the older one would
+// both mint.
+func (s *slot) mintDeadline() time.Time {
 	h := s.held
-	if h == nil || s.givenUp {
+	if h == nil || s.relinquished {
 		return time.Time{}
 	}
-	lapse := h.asked.Add(h.Record.lapse())
-	promised := s.promisedUntil(h.Record, lapse)
+	expiry := h.sentAt.Add(h.Record.slotExpiry())
+	promised := s.promisedUntil(h.Record, expiry)
 	if s.pending != nil {
-		promised = earliest(promised, s.promisedUntil(s.pending.Record, lapse))
+		promised = earliest(promised, s.promisedUntil(s.pending.Record, expiry))
 	}
-	return earliest(lapse, latest(h.asked.Add(h.Record.lease()), promised))
+	return earliest(expiry, latest(h.sentAt.Add(h.Record.lease()), promised))
 }
 
-// promisedUntil returns until when enough members of the record's list keep
-// their promise. With an empty list nobody but the lapse can take the slot.
-func (s *slot) promisedUntil(r Record, lapse time.Time) time.Time {
+// promisedUntil returns until when enough members of the record's list are bound by
+// their promises. With an empty list, nobody can take the slot before its expiry.
+func (s *slot) promisedUntil(r Record, expiry time.Time) time.Time {
 	need := r.promisesNeeded()
 	if need == 0 {
-		return lapse
+		return expiry
 	}
-	var fresh []time.Time
+	var expiries []time.Time
 	for _, member := range r.List {
-		fresh = append(fresh, s.promised[promiseKey{member, r.Seq}])
+		expiries = append(expiries, s.promised[promiseKey{member, r.Seq}])
 	}
-	slices.SortFunc(fresh, func(a, b time.Time) int { return b.Compare(a) })
-	return fresh[need-1]
+	slices.SortFunc(expiries, func(a, b time.Time) int { return b.Compare(a) })
+	return expiries[need-1]
 }
 
 func earliest(a, b time.Time) time.Time {
@@ -55,46 +55,47 @@
 	return b
 }
 
-// stepHolder renews, asks for promises once renewals are overdue, and hands a
-// slot over or releases it.
+// stepHolder renews a held slot, requests promises once renewals are overdue, and
+// hands the slot over or releases it.
 func (m *Machine) stepHolder(s *slot, now time.Time, out *Actions) {
-	m.askPromises(s, now, out)
+	m.requestPromises(s, now, out)
 	if s.pending != nil {
 		return
 	}
 	if m.leaving || s.index >= m.settings.Slots {
-		m.giveUp(s, Record{Released: true}, now, out)
+		m.relinquish(s, Record{Released: true}, now, out)
 		return
 	}
 	if to, ok := m.handoverTo(s, now); ok {
-		m.giveUp(s, Record{Holder: to}, now, out)
+		m.relinquish(s, Record{Holder: to}, now, out)
 		return
 	}
-	age := now.Sub(s.held.asked)
+	age := now.Sub(s.held.sentAt)
 	list := m.desiredList(s, s.held.Record.List, m.self)
-	newList := !slices.Equal(list, s.held.Record.List) && age >= listPause(len(list), len(s.held.Record.List))
+	newList := !slices.Equal(list, s.held.Record.List) && age >= listInterval(len(list), len(s.held.Record.List))
 	if age >= s.held.Record.lease()/renewalsPerLease || newList {
-		r := m.record(s, list)
+		r := m.newRecord(s, list)
 		r.Epoch = s.held.Record.Epoch
 		m.write(s, r, now, out)
 	}
 }
 
-// listPause is how old a version is before it is replaced only to bring a new
-// list. A holder that crashes with too short a list leaves its slot to the lapse,
-// so a longer list is written soon.
-func listPause(length, present int) time.Duration {
+// listInterval returns the minimum age of a version before it is replaced only to
+// change the list. A longer list is written soon, because the slot of a holder that
+// crashes with too short a list stays unused until its expiry.
+func listInterval(length, present int) time.Duration {
 	if length > present {
-		return longerListPause
+		return longerListInterval
 	}
-	return otherListPause
+	return listChangeInterval
 }
 
-// giveUp stops minting before it writes: whoever the write hands the slot to may
-// begin as soon as it stands, also when this instance never hears so.
-func (m *Machine) giveUp(s *slot, r Record, now time.Time, out *Actions) {
-	s.givenUp = true
-	next := m.record(s, nil)
+// relinquish releases the slot or hands it over. It stops minting before the write is
+// sent, since the next holder may mint as soon as the write is stored, even if this
+// instance never receives the outcome.
+func (m *Machine) relinquish(s *slot, r Record, now time.Time, out *Actions) {
+	s.relinquished = true
+	next := m.newRecord(s, nil)
 	next.Holder, next.Released = r.Holder, r.Released
 	next.Epoch = s.held.Record.Epoch + 1
 	if !r.Released {
@@ -103,16 +104,16 @@
 	m.write(s, next, now, out)
 }
 
-// handoverTo returns a live instance without a slot, when this one has several
-// and this slot is the last of them.
+// handoverTo returns a live instance without a slot if this instance holds several
+// slots and s is the last of them.
 func (m *Machine) handoverTo(s *slot, now time.Time) (Member, bool) {
-	if s.held.Record.Epoch > 1 && now.Sub(s.heldFrom) < takenGrace {
+	if s.held.Record.Epoch > 1 && now.Sub(s.heldSince) < takeoverGrace {
 		return Member{}, false
 	}
 	count, last := 0, -1
 	holders := make(map[Member]bool)
 	for _, other := range m.slots {
-		if other.held != nil && !other.givenUp {
+		if other.held != nil && !other.relinquished {
 			count, last = count+1, other.index
 		}
 		if other.read && !other.free() {
@@ -138,8 +139,8 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// desiredList returns the live holders of other slots, the present ones first so
-// that a list changes only for a reason.
+// desiredList returns the live holders of other slots, at most settings.Peers. Members
+// of the present list are preferred, so that the list does not change needlessly.
 func (m *Machine) desiredList(s *slot, present []Member, holder Member) []Member {
 	var all []Member
 	for _, other := range m.slots {
@@ -169,19 +170,20 @@
 	return all
 }
 
-// askPromises begins at half of the lease, so that promises are there when it ends.
-func (m *Machine) askPromises(s *slot, now time.Time, out *Actions) {
-	if now.Sub(s.held.asked) < s.held.Record.lease()/2 || now.Sub(s.lastAsk) < m.settings.Promise/promisesPerValid {
+// requestPromises requests promises from half of the lease on, so that they have arrived
+// when it ends.
+func (m *Machine) requestPromises(s *slot, now time.Time, out *Actions) {
+	if now.Sub(s.held.sentAt) < s.held.Record.lease()/2 || now.Sub(s.lastRequestAt) < m.settings.Promise/promisesPerValidity {
 		return
 	}
-	s.lastAsk = now
-	m.askAll(s, s.held.Record, false, now, out)
+	s.lastRequestAt = now
+	m.requestFromList(s, s.held.Record, false, now, out)
 	if s.pending != nil {
-		m.askAll(s, s.pending.Record, false, now, out)
+		m.requestFromList(s, s.pending.Record, false, now, out)
 	}
 }
 
-func (m *Machine) askAll(s *slot, r Record, consent bool, now time.Time, out *Actions) {
+func (m *Machine) requestFromList(s *slot, r Record, consent bool, now time.Time, out *Actions) {
 	for _, member := range r.List {
 		if member != m.self {
 			out.Requests = append(out.Requests, Request{Slot: s.index, To: member, Epoch: r.Epoch, Seq: r.Seq, Consent: consent, SentAt: now})
@@ -189,7 +191,7 @@
 	}
 }
 
-// RecordPromise takes in a member's promise. It counts from when it was asked for.
+// RecordPromise records a member's promise. Its validity counts from the request.
 func (m *Machine) RecordPromise(a Request, by Member, valid time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coordination/slots/machine.go
+++ b/coordination/slots/machine.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Settings are the fleet document's settings of slots.
+// Settings are the slot settings of the fleet document.
 type Settings struct {
-	Slots    int           // of the failure domain
-	Lease    time.Duration // of a renewal
-	Promise  time.Duration // validity of a promise, counted by the asker from when it asked
-	Peers    int           // length of a list
-	Promises int           // of a list of that length
-	Release  time.Duration // after the lease, when anyone may take the slot
+	Slots    int           // number of slots of the failure domain
+	Lease    time.Duration // how long a renewal is valid
+	Promise  time.Duration // validity of a promise, counted by the requester from its request
+	Peers    int           // maximum length of a list
+	Promises int           // number of promises that a holder needs, see Record.Promises
+	Release  time.Duration // from the end of the lease to the slot's expiry
 }
 
-// Parts of the lease and other times.
+// Intervals of the protocol, some as a number for each lease or promise.
 const (
-	renewalsPerLease = 3
-	promisesPerValid = 3
-	retryPause       = 500 * time.Millisecond // after a write whose outcome is open, and between asks for consent
-	otherListPause   = time.Second            // between renewals that only bring another list
-	longerListPause  = 200 * time.Millisecond // between renewals that bring a longer one
-	secondSlotGrace  = time.Second            // a free slot is left so long to instances that hold none
-	takenGrace       = 5 * time.Second        // a slot taken from another is kept so long: the other may still look alive
-	handoverGrace    = 2 * time.Second        // an instance is known so long before it is handed a slot
+	renewalsPerLease    = 3
+	promisesPerValidity = 3
+	retryInterval       = 500 * time.Millisecond // after a write whose outcome is open, and between requests for consent
+	listChangeInterval  = time.Second            // between renewals that only change the list
+	longerListInterval  = 200 * time.Millisecond // the same if the new list is longer
+	secondSlotGrace     = time.Second            // how long a free slot is left to instances that hold none
+	takeoverGrace       = 5 * time.Second        // how long a slot with a former holder is not handed over: that holder may still be listed as live
+	handoverGrace       = 2 * time.Second        // how long an instance has to be live before a slot is handed over to it
 )
 
 // Entry is a slot's key as read from the store.
@@ -34,37 +34,37 @@
 	Record   Record
 }
 
-// Write is a compare-and-swap to carry out.
+// Write is a compare-and-swap to carry out, on the expected revision.
 type Write struct {
 	Slot   int
 	Record Record
 	Expect int64
 }
 
-// Request is a question for another member: for a promise, or for a consent.
+// Request asks another member for a promise, or for a consent.
 type Request struct {
 	Slot    int
 	To      Member
 	Epoch   uint64
-	Seq     uint64 // version of the slot that is asked about
+	Seq     uint64 // version of the slot that the request is for
 	Consent bool
 	SentAt  time.Time
 }
 
-// Actions are what the caller has to carry out.
+// Actions are the writes and requests that the caller has to carry out.
 type Actions struct {
 	Writes   []Write
 	Requests []Request
 }
 
-// Outcome is what became of a write.
+// Outcome is the result of a write.
 type Outcome int
 
 // Outcomes of a write.
 const (
 	Written  Outcome = iota
 	Conflict         // the key has another revision
-	Unknown          // it may have taken effect, or may yet
+	Unknown          // the write may have taken effect, or may still do so
 )
 
 // HeldSlot is a slot that this instance may mint for.
@@ -74,52 +74,53 @@
 	Until time.Time // exclusive
 }
 
-// Machine runs the protocol for all slots of the own failure domain. It is safe
-// for concurrent use.
+// Machine is the protocol's state machine for all slots of the local failure domain.
+// It is safe for concurrent use.
 type Machine struct {
 	mu       sync.Mutex
 	self     Member
 	settings Settings
 	slots    []*slot
-	live     map[Member]time.Time // live peers of the domain, since when
+	live     map[Member]time.Time // live peers of the domain, with the time since when
 	leaving  bool
 	nonce    uint64 // of the last write
 }
 
-// slot is what one instance knows of one slot.
+// slot is this instance's state of one slot.
 type slot struct {
 	index int
 
-	read        bool // it was read from the store once
+	read        bool // the slot was read from the store at least once
 	seen        Entry
 	seenAt      time.Time // when this instance first saw that version
-	regressedAt time.Time // when the store was first seen to be older; zero when it is not
+	regressedAt time.Time // when the store first returned an older version; zero if it did not
 
-	held     *holding
-	heldFrom time.Time // since when this epoch is held
-	pending  *pendingWrite
-	promised map[promiseKey]time.Time // fresh until
-	lastAsk  time.Time                // for promises or consents
-	givenUp  bool                     // a release or handover was tried: never mint for this epoch again
+	held          *holding
+	heldSince     time.Time // when this instance became the holder in this epoch
+	pending       *pendingWrite
+	promised      map[promiseKey]time.Time // when the promise expires
+	lastRequestAt time.Time                // when promises or consents were last requested
+	relinquished  bool                     // a release or handover was sent: never mint for this epoch again
 
 	consents map[Member]uint64 // latest version that the member consented to
 
-	granted granted
+	commitment commitment
 }
 
-// holding is an acknowledged version of the slot that names this instance.
+// holding is an acknowledged version of the slot whose holder is this instance.
 type holding struct {
 	Entry
-	asked time.Time
+	sentAt time.Time
 }
 
-// pendingWrite is a write whose outcome is not known. Until it is, no other
-// content is written: a late effect cannot bring a list that nobody counts.
+// pendingWrite is a write whose outcome is not known. Until it is, nothing else is
+// written, so that a write that takes effect late cannot bring a list that the holder
+// does not account for.
 type pendingWrite struct {
 	Write
-	asked    time.Time // first try
-	tried    time.Time // last try
-	inFlight bool
+	firstSentAt time.Time // the time that the lease counts from
+	lastSentAt  time.Time
+	inFlight    bool
 }
 
 type promiseKey struct {
@@ -127,15 +128,15 @@
 	seq    uint64
 }
 
-// New returns a machine that holds nothing.
+// New returns a machine that holds no slot.
 func New(self Member, settings Settings) *Machine {
 	m := &Machine{self: self, settings: settings, live: make(map[Member]time.Time)}
 	m.resize()
 	return m
 }
 
-// Configure takes in the fleet document's settings. Slots above a smaller number
-// are released.
+// Configure applies the fleet document's settings. Held slots beyond a reduced number
+// of slots are released.
 func (m *Machine) Configure(settings Settings) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -151,7 +152,7 @@
 	}
 }
 
-// SetLive takes in the live, not leaving instances of the domain.
+// SetLive sets the live instances of the domain, without those that are leaving.
 func (m *Machine) SetLive(members []Member, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -168,7 +169,7 @@
 	m.live = next
 }
 
-// Leave makes the machine release what it holds and take nothing more.
+// Leave makes the machine release its slots and take no more.
 func (m *Machine) Leave() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,32 +182,32 @@
 	defer m.mu.Unlock()
 	var out []HeldSlot
 	for _, s := range m.slots {
-		if until := s.mintsUntil(); now.Before(until) {
+		if until := s.mintDeadline(); now.Before(until) {
 			out = append(out, HeldSlot{Slot: s.index, Epoch: s.held.Record.Epoch, Until: until})
 		}
 	}
 	return out
 }
 
-// Idle tells whether no slot is held and no write is open.
+// Idle reports whether no slot is held and no write is open.
 func (m *Machine) Idle() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !slices.ContainsFunc(m.slots, func(s *slot) bool { return s.held != nil || s.pending != nil })
 }
 
-// NeedsFrequentReads tells whether this instance holds or is listed for a slot, or whether a
-// slot is free, so that it has to look at the store often.
+// NeedsFrequentReads reports whether this instance holds or is listed for a slot, or a slot
+// is free or not read yet, so that the store has to be read often.
 func (m *Machine) NeedsFrequentReads() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.ContainsFunc(m.slots, func(s *slot) bool {
 		return !s.read || s.free() || s.held != nil || s.pending != nil ||
-			s.seen.Record.Holder == m.self || s.seen.Record.lists(m.self)
+			s.seen.Record.Holder == m.self || s.seen.Record.isListed(m.self)
 	})
 }
 
-// Records returns what is known of each slot, for operators.
+// Records returns the last read record of each slot, for operators.
 func (m *Machine) Records() []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -217,8 +218,8 @@
 	return out
 }
 
-// Observe takes in what a list of all slots in the store returned. A slot
-// without an entry does not exist.
+// Observe applies a listing of all slots in the store. A slot without an entry does
+// not exist.
 func (m *Machine) Observe(entries map[int]Entry, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -236,59 +237,59 @@
 	if !s.read || e.Revision != s.seen.Revision {
 		s.read, s.seen, s.seenAt = true, e, now
 	}
-	s.settle(self, e, now)
+	s.reconcile(self, e, now)
 }
 
-// observeOlder is for an answer that is older than what is known: a late one, or
-// a store that was restored. The holder of the newer version may still mint, so
-// the older one counts only after the newer has lapsed.
+// observeOlder applies a version older than the one already seen: a delayed response,
+// or that of a store restored from a backup. The holder of the newer version may still
+// mint, so the older version is accepted only after the newer one has expired.
 func (s *slot) observeOlder(e Entry, now time.Time) {
 	if s.regressedAt.IsZero() {
 		s.regressedAt = now
 	}
-	if now.Sub(s.regressedAt) < WithDrift(s.seen.Record.lapse()) {
+	if now.Sub(s.regressedAt) < WithDrift(s.seen.Record.slotExpiry()) {
 		return
 	}
 	s.seen, s.seenAt, s.regressedAt = e, now, time.Time{}
 	s.held, s.pending = nil, nil
 }
 
-// settle compares the store's version with the own write that is open and with
-// what is held.
-func (s *slot) settle(self Member, e Entry, now time.Time) {
+// reconcile compares the stored version with this instance's pending write and with the
+// version that it holds.
+func (s *slot) reconcile(self Member, e Entry, now time.Time) {
 	if p := s.pending; p != nil && !p.inFlight && e.Record.Seq >= p.Record.Seq {
 		s.pending = nil
-		if mine(e.Record, p.Record) {
-			s.accept(self, e, p.asked, now)
+		if sameWrite(e.Record, p.Record) {
+			s.accept(self, e, p.firstSentAt, now)
 			return
 		}
 	}
 	if s.held == nil || e.Record.Seq <= s.held.Record.Seq {
 		return
 	}
-	if p := s.pending; p != nil && mine(e.Record, p.Record) {
-		return // its answer is on the way
+	if p := s.pending; p != nil && sameWrite(e.Record, p.Record) {
+		return // the outcome of this write is still to come
 	}
-	s.lose()
+	s.drop()
 }
 
-// mine tells whether a version is the write that this instance tried. Holder and
-// list do not suffice: the former holder may have handed the slot over with the
-// same content and earlier, and the lease counts from the own write.
-func mine(have, tried Record) bool {
+// sameWrite reports whether a version is the write that this instance tried. Comparing
+// holder and list is not enough: the former holder may have handed the slot over with
+// the same content earlier, and the lease counts from this instance's own write.
+func sameWrite(have, tried Record) bool {
 	return have.Writer == tried.Writer && have.Nonce == tried.Nonce
 }
 
 func (s *slot) accept(self Member, e Entry, asked, now time.Time) {
 	s.read, s.seen = true, e
-	if e.Record.Holder != self || e.Record.Released || s.givenUp {
-		s.lose()
+	if e.Record.Holder != self || e.Record.Released || s.relinquished {
+		s.drop()
 		return
 	}
 	if s.held == nil || s.held.Record.Epoch != e.Record.Epoch {
-		s.heldFrom = now
+		s.heldSince = now
 	}
-	s.held = &holding{Entry: e, asked: asked}
+	s.held = &holding{Entry: e, sentAt: asked}
 	for key := range s.promised {
 		if key.seq < e.Record.Seq {
 			delete(s.promised, key)
@@ -296,12 +297,12 @@
 	}
 }
 
-func (s *slot) lose() {
-	s.held, s.givenUp = nil, false
+func (s *slot) drop() {
+	s.held, s.relinquished = nil, false
 	clear(s.promised)
 }
 
-// WriteDone takes in what became of a write.
+// WriteDone records the outcome of a write.
 func (m *Machine) WriteDone(w Write, outcome Outcome, revision int64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -315,17 +316,17 @@
 	case Written:
 		s.pending = nil
 		s.seenAt = now
-		s.accept(m.self, Entry{Revision: revision, Record: w.Record}, p.asked, now)
+		s.accept(m.self, Entry{Revision: revision, Record: w.Record}, p.firstSentAt, now)
 	case Conflict:
-		// The next read settles whether an earlier try of this write stands.
+		// The next read shows whether an earlier try of this write is stored.
 	case Unknown:
 	}
 }
 
 func (s *slot) free() bool { return s.read && (s.seen.Revision == 0 || s.seen.Record.Released) }
 
-// NeedsPromptRead tells whether a slot is free or not read yet, or a write is open, so
-// that the store has to be read soon.
+// NeedsPromptRead reports whether a slot is free, not read yet or handed over to this
+// instance, or a write is open, so that the store has to be read soon.
 func (m *Machine) NeedsPromptRead() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -14,16 +14,17 @@
 	}
 }
 
-// Were two instances to mint for one slot, an account could get up to twice that
-// slot's part of its rate. Members pause, crash, restart, lose each other and the
-// store, messages come late or never, and clocks run apart within the bound; at
-// every instant of true time at most one member may hold a slot.
+// Guards against two instances that mint for one slot, which would give an account up
+// to twice that slot's share of its rate. Members pause, crash, restart and lose the
+// connection to each other and to the store, messages are late or lost, and clocks
+// drift within the bound. At every instant of true time at most one member may hold a
+// slot.
 func TestAtMostOneHolderMints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := rapid.IntRange(1, 3).Draw(t, "peers")
 		settings := testSettings(peers, rapid.IntRange(1, peers).Draw(t, "promises"))
 		probability := func(name string, most float64) float64 { return rapid.Float64Range(0, most).Draw(t, name) }
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 5).Draw(t, "members"), settings, faults{
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 5).Draw(t, "members"), settings, faults{
 			lose: probability("lose", 0.3), pause: probability("pause", 0.01), crash: probability("crash", 0.001),
 			cut: probability("cut", 0.01), cutStore: probability("cutStore", 0.01), drift: 0.004,
 		})
@@ -37,8 +38,8 @@
 	})
 }
 
-// heldSlots returns how many slots some member may mint for.
-func (w *world) heldSlots() int {
+// heldSlots returns the number of holders, summed over the slots.
+func (w *simulation) heldSlots() int {
 	count := 0
 	for slot := range w.settings.Slots {
 		count += len(w.holders(slot))
@@ -46,32 +47,31 @@
 	return count
 }
 
-// An empty store and three instances that start together: every slot has a
-// holder within a second, and one of each.
+// With an empty store, three instances start together. Most slots have a holder within
+// a second, and a few seconds later each instance holds one slot.
 func TestFreshDomainMintsSoon(t *testing.T) {
-	w := newWorld(1, 3, testSettings(2, 1), faults{})
+	w := newSimulation(1, 3, testSettings(2, 1), faults{})
 	w.run(time.Second, func() {})
 	if got := w.heldSlots(); got < 2 {
 		t.Errorf("%d slots held after a second", got)
 	}
 	w.run(6*time.Second, func() {})
-	for _, n := range w.nodes {
-		if got := len(n.m.HeldSlots(n.clock(w.now))); got != 1 {
+	for _, n := range w.testMembers {
+		if got := len(n.machine.HeldSlots(n.clock(w.now))); got != 1 {
 			t.Errorf("%s holds %d slots", n.id.ID, got)
 		}
 	}
 }
 
-// A domain is cut off from the store for four leases, and two leases into it one
-// instance crashes. Callers go on being admitted: the holders that are left mint
-// by each other's promises, and when the store is back the crashed one's slot is
-// taken by them.
+// A domain cannot reach the store for four leases, and after two of them one instance
+// crashes. The remaining holders have to continue minting with each other's promises.
+// Once the store is reachable again, the crashed instance's slot has to be taken.
 func TestDomainGoesOnWithoutStore(t *testing.T) {
-	w := newWorld(2, 3, testSettings(2, 1), faults{})
+	w := newSimulation(2, 3, testSettings(2, 1), faults{})
 	w.run(6*time.Second, func() {})
 	lease := w.settings.Lease
-	for _, n := range w.nodes {
-		n.storeCut = w.now + 4*lease
+	for _, n := range w.testMembers {
+		n.storeCutUntil = w.now + 4*lease
 	}
 	crashAt := w.now + 2*lease
 	end := w.now + 4*lease
@@ -80,31 +80,30 @@
 			t.Fatalf("%d slots held at %s without the store", got, w.now)
 		}
 	})
-	w.nodes[0].dead = true
-	w.nodes = w.nodes[1:]
+	w.testMembers[0].dead = true
+	w.testMembers = w.testMembers[1:]
 	w.run(end, func() {
 		if got := w.heldSlots(); got != 2 {
 			t.Fatalf("%d slots held at %s after the crash", got, w.now)
 		}
 	})
-	w.nodes = append(w.nodes, w.start("a"))
+	w.testMembers = append(w.testMembers, w.newMember("a"))
 	w.run(end+3*lease, func() {})
 	if got := w.heldSlots(); got != 3 {
-		t.Errorf("%d slots held after the store came back", got)
+		t.Errorf("%d slots held after the store was reachable again", got)
 	}
 }
 
-// One instance loses both the store and its peers. It has to fall silent when
-// its lease ends, and its slot goes to a listed peer; when it wakes it holds
-// nothing of it.
+// One instance loses the connection to both the store and its peers. It has to stop
+// minting when its lease ends, and a listed peer has to take its slot.
 func TestCutOffHolderFallsSilent(t *testing.T) {
-	w := newWorld(3, 3, testSettings(2, 1), faults{})
+	w := newSimulation(3, 3, testSettings(2, 1), faults{})
 	w.run(6*time.Second, func() {})
-	lost := w.nodes[0]
-	slot := lost.m.HeldSlots(lost.clock(w.now))[0].Slot
-	lost.storeCut, lost.cutUntil = w.now+5*w.settings.Lease, w.now+5*w.settings.Lease
+	lost := w.testMembers[0]
+	slot := lost.machine.HeldSlots(lost.clock(w.now))[0].Slot
+	lost.storeCutUntil, lost.cutUntil = w.now+5*w.settings.Lease, w.now+5*w.settings.Lease
 	w.run(w.now+w.settings.Lease+w.settings.Promise, func() {})
-	if got := len(lost.m.HeldSlots(lost.clock(w.now))); got != 0 {
+	if got := len(lost.machine.HeldSlots(lost.clock(w.now))); got != 0 {
 		t.Errorf("cut off, but it still holds %d slots", got)
 	}
 	w.run(w.now+w.settings.Lease, func() {})
@@ -114,14 +113,14 @@
 	}
 }
 
-// An instance that stops as planned releases its slot, so that another takes it
-// at once and not after the lease.
+// In a graceful shutdown an instance releases its slot, so that another takes it at
+// once and not after the lease.
 func TestLeavingHolderReleases(t *testing.T) {
-	w := newWorld(4, 3, testSettings(2, 1), faults{})
+	w := newSimulation(4, 3, testSettings(2, 1), faults{})
 	w.run(6*time.Second, func() {})
-	w.nodes[0].m.Leave()
+	w.testMembers[0].machine.Leave()
 	w.run(w.now+time.Second, func() {})
-	if !w.nodes[0].m.Idle() {
+	if !w.testMembers[0].machine.Idle() {
 		t.Error("the leaving instance still holds a slot")
 	}
 	w.run(w.now+2*time.Second, func() {})
@@ -130,23 +129,23 @@
 	}
 }
 
-// Every holder of a domain crashes. Nobody in a list is left, so the slots come
-// back after the lapse and not before.
+// Every holder of a domain crashes. No listed member is left, so the slots are taken
+// after their expiry and not before.
 func TestSlotsOfLostDomainLapse(t *testing.T) {
-	w := newWorld(5, 3, testSettings(2, 1), faults{})
+	w := newSimulation(5, 3, testSettings(2, 1), faults{})
 	w.run(6*time.Second, func() {})
-	for i, n := range w.nodes {
+	for i, n := range w.testMembers {
 		n.dead = true
-		w.nodes[i] = w.start(n.id.ID)
+		w.testMembers[i] = w.newMember(n.id.ID)
 	}
-	lapse := w.settings.Lease*2/3 + w.settings.Release
-	w.run(w.now+lapse, func() {
+	expiry := w.settings.Lease*2/3 + w.settings.Release
+	w.run(w.now+expiry, func() {
 		if got := w.heldSlots(); got != 0 {
-			t.Fatalf("%d slots held at %s, before the lapse", got, w.now)
+			t.Fatalf("%d slots held at %s, before its expiry", got, w.now)
 		}
 	})
 	w.run(w.now+2*w.settings.Lease, func() {})
 	if got := w.heldSlots(); got != 3 {
-		t.Errorf("%d slots held after the lapse", got)
+		t.Errorf("%d slots held after their expiry", got)
 	}
 }
--- a/coordination/slots/taker.go
+++ b/coordination/slots/taker.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Step returns what has to be done now.
+// Step returns the actions to carry out now.
 func (m *Machine) Step(now time.Time) Actions {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -17,7 +17,7 @@
 }
 
 func (m *Machine) step(s *slot, now time.Time, out *Actions) {
-	if p := s.pending; p != nil && !p.inFlight && now.Sub(p.tried) >= retryPause {
+	if p := s.pending; p != nil && !p.inFlight && now.Sub(p.lastSentAt) >= retryInterval {
 		m.retry(s, now, out)
 	}
 	switch {
@@ -33,13 +33,13 @@
 	}
 }
 
-// retry sends a write again whose outcome is open. Its content stays the same.
+// retry repeats a write whose outcome is open, with the same content.
 func (m *Machine) retry(s *slot, now time.Time, out *Actions) {
 	if s.held == nil && s.seen.Revision != s.pending.Expect {
-		s.pending = nil // a taking that came too late
+		s.pending = nil // another write was first, so this one cannot succeed
 		return
 	}
-	s.pending.inFlight, s.pending.tried = true, now
+	s.pending.inFlight, s.pending.lastSentAt = true, now
 	out.Writes = append(out.Writes, s.pending.Write)
 }
 
@@ -47,27 +47,28 @@
 	m.nonce++
 	r.Writer, r.Nonce = m.self, m.nonce
 	w := Write{Slot: s.index, Record: r, Expect: s.seen.Revision}
-	s.pending = &pendingWrite{Write: w, asked: now, tried: now, inFlight: true}
+	s.pending = &pendingWrite{Write: w, firstSentAt: now, lastSentAt: now, inFlight: true}
 	out.Writes = append(out.Writes, w)
 }
 
-// record returns the slot's next version with this instance as its holder.
-func (m *Machine) record(s *slot, list []Member) Record {
+// newRecord returns the slot's next version, with this instance as the holder.
+func (m *Machine) newRecord(s *slot, list []Member) Record {
 	return Record{
 		Holder: m.self, Seq: s.seen.Record.Seq + 1, List: list, Promises: m.settings.Promises,
 		LeaseMs: m.settings.Lease.Milliseconds(), ReleaseMs: m.settings.Release.Milliseconds(),
 	}
 }
 
-// take writes the slot's next epoch.
+// take writes the slot's next epoch with this instance as the holder.
 func (m *Machine) take(s *slot, now time.Time, out *Actions) {
-	r := m.record(s, m.desiredList(s, nil, m.self))
+	r := m.newRecord(s, m.desiredList(s, nil, m.self))
 	r.Epoch = s.seen.Record.Epoch + 1
-	s.givenUp = false
+	s.relinquished = false
 	m.write(s, r, now, out)
 }
 
-// stepFree takes a free slot. Several for one instance only when others leave it.
+// stepFree takes a free slot. An instance that already has one waits for
+// secondSlotGrace, to leave the slot to others.
 func (m *Machine) stepFree(s *slot, now time.Time, out *Actions) {
 	held := slices.ContainsFunc(m.slots, func(o *slot) bool { return o.held != nil || o.pending != nil })
 	if held && now.Sub(s.seenAt) < secondSlotGrace {
@@ -76,37 +77,38 @@
 	m.take(s, now, out)
 }
 
-// adopt makes a slot that was handed over the own one, by a renewal: the time of
-// the handing write is not this instance's to count from.
+// adopt renews a slot that was handed over to this instance. The instance does not
+// mint before, since it does not know when the handover was sent and so cannot count
+// the lease from it.
 func (m *Machine) adopt(s *slot, now time.Time, out *Actions) {
-	r := m.record(s, m.desiredList(s, s.seen.Record.List, m.self))
+	r := m.newRecord(s, m.desiredList(s, s.seen.Record.List, m.self))
 	r.Epoch = s.seen.Record.Epoch
-	s.givenUp = false
+	s.relinquished = false
 	m.write(s, r, now, out)
 }
 
-// stepOther takes a slot whose holder has fallen silent. Only a member of the
-// list may, after the lease, with consents of more than |list| - H of them: fewer
-// than H are left to promise, so the holder cannot mint. A newcomer has to wait
-// for the lapse, by which the holder has stopped in any case.
+// stepOther takes a slot whose holder does not renew it. After the lease, only a member
+// of the list may take it, with consents from more than |list| - H members, where H is
+// promisesNeeded: fewer than H are left to promise, so the holder cannot mint. Other
+// instances have to wait for the slot's expiry, by which the holder has stopped in any case.
 func (m *Machine) stepOther(s *slot, now time.Time, out *Actions) {
 	r := s.seen.Record
 	silent := now.Sub(s.seenAt)
-	if silent >= WithDrift(r.lapse()) {
+	if silent >= WithDrift(r.slotExpiry()) {
 		m.take(s, now, out)
 		return
 	}
-	if silent < WithDrift(r.lease()) || !r.lists(m.self) {
+	if silent < WithDrift(r.lease()) || !r.isListed(m.self) {
 		return
 	}
-	s.consent(m.self, r.Seq, now)
+	s.consentLocally(m.self, r.Seq, now)
 	if s.consentCount(r) >= r.consentsNeeded() {
 		m.take(s, now, out)
 		return
 	}
-	if now.Sub(s.lastAsk) >= retryPause {
-		s.lastAsk = now
-		m.askAll(s, r, true, now, out)
+	if now.Sub(s.lastRequestAt) >= retryInterval {
+		s.lastRequestAt = now
+		m.requestFromList(s, r, true, now, out)
 	}
 }
 
@@ -120,14 +122,14 @@
 	return count
 }
 
-// consent gives this instance's own consent, when its promise allows.
-func (s *slot) consent(self Member, seq uint64, now time.Time) {
-	if _, ok := s.granted.consent(seq, now); ok {
+// consentLocally records this instance's own consent, unless a promise forbids it.
+func (s *slot) consentLocally(self Member, seq uint64, now time.Time) {
+	if _, ok := s.commitment.consent(seq, now); ok {
 		s.consents[self] = seq
 	}
 }
 
-// RecordConsent takes in a member's consent to the version asked about.
+// RecordConsent records a member's consent to the version in the request.
 func (m *Machine) RecordConsent(a Request, by Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
