--- a/coordination/quotashare/division.go
+++ b/coordination/quotashare/division.go
@@ -10,39 +10,42 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// Load pattern: many instances, each with a few requests a second, some of which cost more than
-// an even part of their account holds. With even parts such a request asks for loans at a number
-// of instances that grows with the fleet, and an account without tokens asks all of them.
+// The division is made for many instances with a few requests a second each, some of which cost
+// more than the bucket of an even share holds. With even shares only, such a request would need
+// loans from a number of instances that grows with the fleet, and an account that is out of
+// tokens would ask all of them.
 
 const (
-	// evenShare is the part of each account that is even over all instances, so that
-	// ordinary requests need no loan and an instance that is cut off goes on.
-	evenShare = 0.25
-	// lendersPerDomain is how many instances of a failure domain share its part of the
-	// rest. They lend it to the others; a domain that is cut off has all of them.
+	// evenFraction is the fraction of each account that is divided evenly over all
+	// instances, so that ordinary requests need no loan and a partitioned instance can
+	// still admit requests.
+	evenFraction = 0.25
+	// lendersPerDomain is how many instances of a failure domain divide its share of the
+	// rest among them and lend it to the others. A partitioned domain thus has lenders of
+	// its own.
 	lendersPerDomain = 4
 )
 
-// Division divides each account over a set of instances: a part of it evenly over all, the
-// rest over a few in each failure domain, which the hash names for the account. A larger set
-// never gives an instance a larger part, so parts by different sets that all contain those
-// who mint are at most the whole.
+// Division divides each account over a set of instances: a fraction of it evenly over all, the
+// rest over a few in each failure domain, which are chosen by rendezvous hashing on the account.
+// A larger set never gives an instance a larger share. Shares by different sets therefore add up
+// to at most the whole if each of these sets contains all instances that mint.
 type Division struct {
 	self    string
 	size    int
-	domains [][]hashed
+	domains [][]hashedHolder
 }
 
-type hashed struct {
+type hashedHolder struct {
 	id   string
 	hash uint64
 }
 
-// NewDivision returns the division over a set as the instance self sees it.
+// NewDivision returns the division over a set, with the allocations of the instance self.
 func NewDivision(self string, holders []Holder) *Division {
-	byDomain := make(map[string][]hashed)
+	byDomain := make(map[string][]hashedHolder)
 	for _, h := range holders {
-		byDomain[h.Domain] = append(byDomain[h.Domain], hashed{h.ID, xxhash.Sum64String(h.ID)})
+		byDomain[h.Domain] = append(byDomain[h.Domain], hashedHolder{h.ID, xxhash.Sum64String(h.ID)})
 	}
 	d := &Division{self: self, size: len(holders)}
 	for _, members := range byDomain {
@@ -56,29 +59,30 @@
 	if d.size == 0 {
 		return quota.Allocation{}
 	}
-	even := evenShare / float64(d.size)
-	part := quota.Allocation{Share: even, EvenShare: 1 / float64(d.size), MinLenderShare: 1, Lenders: []string{}}
+	even := evenFraction / float64(d.size)
+	alloc := quota.Allocation{Share: even, EvenShare: 1 / float64(d.size), MinLenderShare: 1, Lenders: []string{}}
 	account := xxhash.Sum64String(doc.Name)
 	for _, members := range d.domains {
-		lenders := top(members, account)
-		rest := (1 - evenShare) / float64(len(d.domains)*len(lenders))
-		part.MinLenderShare = min(part.MinLenderShare, even+rest)
+		lenders := topByScore(members, account)
+		rest := (1 - evenFraction) / float64(len(d.domains)*len(lenders))
+		alloc.MinLenderShare = min(alloc.MinLenderShare, even+rest)
 		for _, m := range lenders {
-			part.Lenders = append(part.Lenders, m.id)
+			alloc.Lenders = append(alloc.Lenders, m.id)
 			if m.id == d.self {
-				part.Lends = true
-				part.Share += rest
+				alloc.Lends = true
+				alloc.Share += rest
 			}
 		}
 	}
-	slices.Sort(part.Lenders)
-	return part
+	slices.Sort(alloc.Lenders)
+	return alloc
 }
 
-// top returns the members of a domain that the hash names for an account.
-func top(members []hashed, account uint64) []hashed {
-	best := make([]hashed, 0, lendersPerDomain)
-	before := func(a, b hashed) int {
+// topByScore returns the lendersPerDomain members of a domain with the highest scores for an
+// account, in descending order.
+func topByScore(members []hashedHolder, account uint64) []hashedHolder {
+	best := make([]hashedHolder, 0, lendersPerDomain)
+	before := func(a, b hashedHolder) int {
 		return cmp.Or(cmp.Compare(score(b.hash, account), score(a.hash, account)), cmp.Compare(a.id, b.id))
 	}
 	for _, m := range members {
--- a/coordination/quotashare/division_test.go
+++ b/coordination/quotashare/division_test.go
@@ -22,45 +22,45 @@
 	return out
 }
 
-// Guards against parts of one set that are more or less than the whole.
-func TestPartsOfASetAreTheWhole(t *testing.T) {
+// Guards against shares of one set that add up to more or less than the whole.
+func TestSharesOfASetAddUpToTheWhole(t *testing.T) {
 	for _, size := range []int{1, 3, 8, 9, 64, 195, 360} {
 		fleet, total, lends := fleetOf(size, min(size, 6)), 0.0, 0
 		for _, h := range fleet {
-			part := NewDivision(h.ID, fleet).Allocate(acme)
-			total += part.Share
-			if part.Lends != slices.Contains(part.Lenders, h.ID) {
-				t.Errorf("%d instances: %s lends: %v, but the lenders are %v", size, h.ID, part.Lends, part.Lenders)
+			alloc := NewDivision(h.ID, fleet).Allocate(acme)
+			total += alloc.Share
+			if alloc.Lends != slices.Contains(alloc.Lenders, h.ID) {
+				t.Errorf("%d instances: %s lends: %v, but the lenders are %v", size, h.ID, alloc.Lends, alloc.Lenders)
 			}
-			if part.Lends {
+			if alloc.Lends {
 				lends++
 			}
 		}
 		if math.Abs(total-1) > 1e-9 || lends != min(size, 6*lendersPerDomain) {
-			t.Errorf("%d instances: parts of %.6f in all, %d lenders", size, total, lends)
+			t.Errorf("%d instances: the shares add up to %.6f, with %d lenders", size, total, lends)
 		}
 	}
 }
 
-// Guards against a part that grows with the set, which would exceed the whole beside parts by the smaller set.
+// Guards against a share that grows with the set: together with shares by the smaller set it would exceed the whole.
 func TestPartsNeverGrowWithTheSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var fleet []Holder
-		parts := make(map[string]float64)
+		shares := make(map[string]float64)
 		for i := range rapid.IntRange(1, 40).Draw(t, "instances") {
 			fleet = append(fleet, Holder{fmt.Sprint("i", i), rapid.SampledFrom([]string{"d0", "d1", "d2"}).Draw(t, "domain")})
 			for _, h := range fleet {
 				share := NewDivision(h.ID, fleet).Allocate(acme).Share
-				if before, known := parts[h.ID]; known && share > before+1e-12 {
-					t.Fatalf("the part of %s grew from %.4f to %.4f with the instance %d", h.ID, before, share, i)
+				if before, known := shares[h.ID]; known && share > before+1e-12 {
+					t.Fatalf("the share of %s grew from %.4f to %.4f with the instance %d", h.ID, before, share, i)
 				}
-				parts[h.ID] = share
+				shares[h.ID] = share
 			}
 		}
 	})
 }
 
-// Guards against a failure domain that has nobody to lend to its instances once it is cut off.
+// Guards against a failure domain that has no lenders once it is partitioned.
 func TestEachDomainHasLenders(t *testing.T) {
 	fleet := fleetOf(195, 6)
 	byDomain := make(map[string]int)
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkSizeDivision is what an instance works out for each account when the set grows.
+// BenchmarkSizeDivision measures the allocation of one account, which is computed for each account when the set grows.
 func BenchmarkSizeDivision(b *testing.B) {
 	for _, size := range []int{30, 100, 195, 360} {
 		b.Run(fmt.Sprintf("n=%d", size), func(b *testing.B) {
--- a/coordination/quotashare/quotashare.go
+++ b/coordination/quotashare/quotashare.go
@@ -1,29 +1,34 @@
 // Package quotashare divides every account's rate and burst over a set of instances that
-// only grows, see Division. It holds by itself when instances are cut off, sleep or restart:
+// only grows, see Division. The shares of all instances that mint never exceed the whole,
+// also when instances are partitioned, paused or restarted:
 //
-//   - An instance that joins writes its name into the store and then reads all names.
-//     Of two that join at once, the one that reads later sees the other's name.
-//   - A set is whole when it was read from the store after that, or when a peer whose set
-//     is whole and has the own name tells it. So an instance that restarts while the store
-//     is away mints.
-//   - It mints its part only when every instance of its set goes by the same set, and all
-//     of them have heard that of each other in the same lifetimes. Each of two that mint
-//     has the other in its set, so the parts together are at most the whole. One that has
-//     never minted waits until loans have expired that others made of what is its part now.
-//   - An instance mints its part for good; nobody else ever mints it. One that is cut
-//     off goes on with its own part, and needs neither the store nor a peer.
-//   - That it has once minted stands in the store. A restarted instance that finds it
-//     there need not ask again: all others counted it before. Tokens that its
-//     predecessor lent may still be spent; see quota.Ledger.SetProvisional.
+//   - A joining instance writes its id into the store and then reads all ids. Of two that
+//     join at the same time, the one that reads later sees the other's id.
+//   - A set is complete if it was read from the store after that, or was received from a
+//     peer whose set is complete and contains this instance. An instance that restarts
+//     while the store is unreachable can therefore mint.
+//   - An instance mints its share only when every instance of its set has reported the same
+//     set, and all of them know that of each other in the same incarnations. Each of two
+//     minting instances then has the other in its set, so the shares add up to at most the
+//     whole. An instance that has never minted waits until loans have expired that others
+//     may have made from what is its share now.
+//   - An instance keeps its share for good; no other ever mints it. An instance that is
+//     partitioned continues with its share, and needs neither the store nor a peer.
+//   - The store has a record that the instance has minted. If a restarted instance finds
+//     that record it need not wait for the others, since all of them have it in their sets.
+//     Tokens that its earlier incarnation lent may still be spent; see
+//     quota.Ledger.SetProvisional.
 //
-// Why the lifetimes: a peer that has counted a newcomer, restarts, and takes for whole the
-// set of another one that has not heard of the newcomer yet, divides by one too few beside
-// it. Each instance names the lifetimes only after it has heard all others, so when the
-// names agree there was a moment at which all of them counted the newcomer at once; every
-// set that is told later has it. spec/quotashare.pml checks this.
+// The incarnations are needed for this case: a peer has a joining instance in its set,
+// restarts, and receives as complete the set of another peer that does not have the joining
+// instance yet. It then divides by one instance too few while the joining one mints. An
+// instance reports its AgreementHash, which covers the incarnations, only after it has
+// received the same set from all others. When these hashes agree, there was a moment at
+// which all instances had the joining one in their sets at once, so every set that is sent
+// later has it. spec/quotashare.pml checks this.
 //
-// The part of an instance that never comes back is lost to the fleet. Demand that is uneven
-// over instances is met by loans, see package quota.
+// The share of an instance that never returns is lost to the fleet. Demand that is uneven
+// over instances is served by loans, see package quota.
 //
 // The package does no I/O.
 package quotashare
@@ -36,22 +41,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HolderSet decides what one instance may mint. It is safe for concurrent use.
+// HolderSet is the set of instances that hold shares, as one instance knows it, and decides
+// whether that instance may mint. It is safe for concurrent use.
 type HolderSet struct {
-	self     string
-	lifetime uint64
+	self        string
+	incarnation uint64
 
-	mu          sync.Mutex
-	holders     map[string]string // failure domain of each instance
-	hash        uint64            // of holders
-	complete    bool              // holders has every instance that mints
-	established bool              // all others counted this instance once
-	minted      bool              // an earlier lifetime of this instance has minted
-	newcomer    bool              // the store said that none has
-	acks        map[string]uint64 // lifetimes in which the others went by this very set
-	agreed      map[string]uint64 // what the others last said of the lifetimes they heard
-	free        map[string]bool   // those that hold nothing a predecessor lent
-	cleared     bool              // tokens that a predecessor lent cannot be spent any more
+	mu              sync.Mutex
+	holders         map[string]string // failure domain of each instance
+	hash            uint64            // of holders
+	complete        bool              // holders contains every instance that mints
+	established     bool              // all others had this instance in their sets at once
+	mintedBefore    bool              // an earlier incarnation of this instance has minted
+	neverMinted     bool              // according to the store no earlier incarnation has minted
+	acks            map[string]uint64 // incarnations in which the others reported this same set
+	agreementHashes map[string]uint64 // AgreementHash that each of the others last reported
+	noLoans         map[string]bool   // instances that hold no loan of an earlier incarnation
+	cleared         bool              // no loan of an earlier incarnation can be spent any more
 }
 
 // Holder is an instance of the set.
@@ -59,34 +65,34 @@
 
 func (h Holder) hash() uint64 { return xxhash.Sum64String(h.ID + "\x00" + h.Domain) }
 
-// Report is what an instance says of its set.
+// Report is what an instance sends to others about its set.
 type Report struct {
-	Incarnation   uint64 // in which it says so; another one after each restart
-	Hash          uint64 // see Keeper.Hash
-	AgreementHash uint64 // see Keeper.Agreed
+	Incarnation   uint64 // of the sender; changes with each restart
+	Hash          uint64 // see HolderSet.Hash
+	AgreementHash uint64 // see HolderSet.AgreementHash
 }
 
-// NewHolderSet returns a keeper of an instance in one of its lifetimes. It mints nothing.
-func NewHolderSet(self string, lifetime uint64) *HolderSet {
+// NewHolderSet returns an empty set of an incarnation of the instance self.
+func NewHolderSet(self string, incarnation uint64) *HolderSet {
 	return &HolderSet{
-		self: self, lifetime: lifetime, holders: make(map[string]string),
-		acks: make(map[string]uint64), agreed: make(map[string]uint64), free: make(map[string]bool),
+		self: self, incarnation: incarnation, holders: make(map[string]string),
+		acks: make(map[string]uint64), agreementHashes: make(map[string]uint64), noLoans: make(map[string]bool),
 	}
 }
 
-// Merge takes in instances. complete says that they have every instance that mints: they
-// were read from the store after the own name was written, or come from a peer for
-// whose set that holds and which has the own name.
+// Merge adds instances to the set. complete says that holders contains every instance that
+// mints: it was read from the store after this instance's id was written, or received from
+// a peer whose set is complete and contains this instance.
 func (k *HolderSet) Merge(holders []Holder, complete bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, h := range holders {
 		if h.ID == "" || k.has(h.ID) {
-			continue // an instance stays in its failure domain
+			continue // the failure domain of an instance never changes
 		}
 		k.holders[h.ID] = h.Domain
 		k.hash ^= h.hash()
-		clear(k.acks) // they were for a smaller set
+		clear(k.acks) // these reports were for a smaller set
 	}
 	if complete && k.has(k.self) {
 		k.complete = true
@@ -98,143 +104,146 @@
 	return ok
 }
 
-// RecordMinted takes in that the store says this instance has minted before. What it says after
-// this lifetime has begun to mint, or after it said the opposite, proves no earlier one.
+// RecordMinted records that according to the store this instance has minted. Once this
+// incarnation has begun to mint, or after RecordNeverMinted, it has no effect: the record
+// may then be of this incarnation and proves no earlier one.
 func (k *HolderSet) RecordMinted() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.established || k.newcomer {
+	if k.established || k.neverMinted {
 		return
 	}
-	k.established, k.minted = true, true
+	k.established, k.mintedBefore = true, true
 }
 
-// RecordNeverMinted takes in that the store says this instance has not minted before. It mints so
-// late that loans of a predecessor whose word to the store was lost have expired.
+// RecordNeverMinted records that according to the store this instance has never minted. It
+// then begins to mint so late that loans have expired even of an earlier incarnation whose
+// record was lost on the way to the store.
 func (k *HolderSet) RecordNeverMinted() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cleared, k.newcomer = true, true
+	k.cleared, k.neverMinted = true, true
 }
 
-// NoEarlierMint tells whether no earlier lifetime of this instance has minted: others may have
-// lent what is its part now.
+// NoEarlierMint reports whether no earlier incarnation of this instance has minted. Others may
+// then have lent tokens of what is its share now.
 func (k *HolderSet) NoEarlierMint() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return !k.minted
+	return !k.mintedBefore
 }
 
-// ApplyReport takes in what another instance says of its set.
+// ApplyReport applies another instance's report about its set.
 func (k *HolderSet) ApplyReport(id string, w Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.agreed[id] = w.AgreementHash
+	k.agreementHashes[id] = w.AgreementHash
 	if w.Hash == k.hash && k.has(k.self) {
 		k.acks[id] = w.Incarnation
 	}
 }
 
-// AgreementHash names the lifetimes in which all instances of the set went by it, this one
-// included; 0 while one of them has not been heard to.
+// AgreementHash returns a hash of the set and of the incarnations in which all its instances,
+// including this one, reported it; 0 while a report is missing.
 func (k *HolderSet) AgreementHash() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.agreedLifetimes()
+	return k.agreementHash()
 }
 
-func (k *HolderSet) agreedLifetimes() uint64 {
+func (k *HolderSet) agreementHash() uint64 {
 	if !k.has(k.self) {
 		return 0
 	}
 	sum := k.hash
 	for id := range k.holders {
-		lifetime, heard := k.acks[id]
+		incarnation, known := k.acks[id]
 		if id == k.self {
-			lifetime, heard = k.lifetime, true
+			incarnation, known = k.incarnation, true
 		}
-		if !heard {
+		if !known {
 			return 0
 		}
-		sum ^= lifetimeHash(id, lifetime)
+		sum ^= incarnationHash(id, incarnation)
 	}
 	return sum
 }
 
-// lifetimeHash is for sums whose order does not matter.
-func lifetimeHash(id string, lifetime uint64) uint64 {
+// incarnationHash returns a hash to be combined by exclusive or, so that order does not matter.
+func incarnationHash(id string, incarnation uint64) uint64 {
 	var digest xxhash.Digest
-	digest.ResetWithSeed(lifetime)
+	digest.ResetWithSeed(incarnation)
 	_, _ = digest.WriteString(id) // writing to a hash does not fail
 	return digest.Sum64()
 }
 
-// ConfirmNoLoans takes in that another instance holds nothing that a predecessor lent.
+// ConfirmNoLoans records that another instance holds no loan of an earlier incarnation of this
+// one.
 func (k *HolderSet) ConfirmNoLoans(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.free[id] = true
+	k.noLoans[id] = true
 }
 
-// TryClear tells whether just now it became certain that nothing a predecessor lent can be
-// spent any more: the loans have expired, or every instance of the set says that it
-// holds none. A set that may lack somebody proves nothing: the one it lacks may hold a
-// loan, and the whole part would be spent beside it.
+// TryClear sets Cleared if it has become certain that no loan of an earlier incarnation can be
+// spent any more: all have expired, or every instance of the set has confirmed that it holds
+// none. It reports whether it did so in this call. An incomplete set proves nothing: a missing
+// instance may hold a loan, which could then be spent beside the whole share.
 func (k *HolderSet) TryClear(expired bool) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.cleared || !expired && !k.allFree() {
+	if k.cleared || !expired && !k.noneOwesLoans() {
 		return false
 	}
 	k.cleared = true
 	return true
 }
 
-// Unconfirmed returns the instances of the set that have not yet said that they hold nothing
-// a predecessor lent; none when that no longer matters.
+// Unconfirmed returns the instances of the set that have not yet confirmed that they hold no
+// loan of an earlier incarnation; none once that is cleared.
 func (k *HolderSet) Unconfirmed() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []string
 	for id := range k.holders {
-		if !k.cleared && id != k.self && !k.free[id] {
+		if !k.cleared && id != k.self && !k.noLoans[id] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func (k *HolderSet) allFree() bool {
+func (k *HolderSet) noneOwesLoans() bool {
 	for id := range k.holders {
-		if id != k.self && !k.free[id] {
+		if id != k.self && !k.noLoans[id] {
 			return false
 		}
 	}
 	return k.complete
 }
 
-// Cleared tells whether that is certain.
+// Cleared reports whether it is certain that no loan of an earlier incarnation can be spent.
 func (k *HolderSet) Cleared() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.cleared
 }
 
-// Hash names the set that this instance goes by; 0 for the empty one.
+// Hash returns a hash of the set; 0 if it is empty.
 func (k *HolderSet) Hash() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.hash
 }
 
-// Complete tells whether the set has every instance that mints.
+// Complete reports whether the set contains every instance that mints.
 func (k *HolderSet) Complete() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.complete
 }
 
-// Holders returns the set, ordered.
+// Holders returns the instances of the set, sorted by id.
 func (k *HolderSet) Holders() []Holder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -252,7 +261,7 @@
 	return len(k.holders)
 }
 
-// Mints tells whether this instance mints its part.
+// Mints reports whether this instance may mint its share.
 func (k *HolderSet) Mints() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -262,12 +271,12 @@
 	if k.established {
 		return true
 	}
-	own := k.agreedLifetimes()
-	if own == 0 {
+	hash := k.agreementHash()
+	if hash == 0 {
 		return false
 	}
 	for id := range k.holders {
-		if id != k.self && k.agreed[id] != own {
+		if id != k.self && k.agreementHashes[id] != hash {
 			return false
 		}
 	}
--- a/coordination/quotashare/quotashare_test.go
+++ b/coordination/quotashare/quotashare_test.go
@@ -10,13 +10,13 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// world is a store and the instances that join through it.
-type world struct {
-	names  []Holder        // in the store
-	minted map[string]bool // by the store
-	live   map[string]*HolderSet
-	stage  map[string]int // of joining: 0 nothing, 1 written, 2 read
-	lives  uint64         // begun so far
+// simulation is a store and the instances that join through it.
+type simulation struct {
+	stored       []Holder        // instances in the store
+	minted       map[string]bool // instances with a record in the store that they have minted
+	sets         map[string]*HolderSet
+	joinStage    map[string]int // 0 nothing done, 1 id written to the store, 2 ids read
+	incarnations uint64         // number of starts so far, over all instances
 }
 
 // domainOf puts two of three instances into one failure domain.
@@ -27,7 +27,7 @@
 	return "d1"
 }
 
-// holders returns instances of the failure domains that domainOf names.
+// holders returns instances with their failure domains.
 func holders(ids ...string) []Holder {
 	var out []Holder
 	for _, id := range ids {
@@ -36,82 +36,83 @@
 	return out
 }
 
-func newWorld(ids ...string) *world {
-	w := &world{minted: make(map[string]bool), live: make(map[string]*HolderSet), stage: make(map[string]int)}
+func newSimulation(ids ...string) *simulation {
+	w := &simulation{minted: make(map[string]bool), sets: make(map[string]*HolderSet), joinStage: make(map[string]int)}
 	for _, id := range ids {
 		w.start(id)
 	}
 	return w
 }
 
-// start begins a lifetime, which knows nothing of the one before.
-func (w *world) start(id string) {
-	w.lives++
-	w.live[id], w.stage[id] = NewHolderSet(id, w.lives), 0
+// start begins a new incarnation of an instance, without the state of the one before.
+func (w *simulation) start(id string) {
+	w.incarnations++
+	w.sets[id], w.joinStage[id] = NewHolderSet(id, w.incarnations), 0
 }
 
-func (w *world) write(id string) {
-	if w.stage[id] == 0 {
-		for _, name := range w.names {
+func (w *simulation) write(id string) {
+	if w.joinStage[id] == 0 {
+		for _, name := range w.stored {
 			if name.ID == id {
-				w.stage[id] = 1
+				w.joinStage[id] = 1
 				return
 			}
 		}
-		w.names = append(w.names, Holder{id, domainOf(id)})
-		w.stage[id] = 1
+		w.stored = append(w.stored, Holder{id, domainOf(id)})
+		w.joinStage[id] = 1
 	}
 }
 
-func (w *world) read(id string) {
-	if w.stage[id] == 1 {
+func (w *simulation) read(id string) {
+	if w.joinStage[id] == 1 {
 		if w.minted[id] {
-			w.live[id].RecordMinted()
+			w.sets[id].RecordMinted()
 		}
-		w.live[id].Merge(w.names, true)
-		w.stage[id] = 2
+		w.sets[id].Merge(w.stored, true)
+		w.joinStage[id] = 2
 	}
 }
 
-// exchange lets one instance ask another, as the instances do.
-func (w *world) exchange(from, to string) {
-	a, b := w.live[from], w.live[to]
+// exchange lets one instance query another and apply the response, as instances do.
+func (w *simulation) exchange(from, to string) {
+	a, b := w.sets[from], w.sets[to]
 	if a.Hash() != b.Hash() {
-		own := false
+		listed := false
 		for _, h := range b.Holders() {
-			own = own || h.ID == from
+			listed = listed || h.ID == from
 		}
-		a.Merge(b.Holders(), b.Complete() && own)
+		a.Merge(b.Holders(), b.Complete() && listed)
 	}
-	a.ApplyReport(to, b.word())
+	a.ApplyReport(to, b.report())
 }
 
-// meet lets two instances hear of each other.
-func (w *world) meet(from, to string) {
+// exchangeBothWays lets two instances receive each other's sets and reports.
+func (w *simulation) exchangeBothWays(from, to string) {
 	w.exchange(from, to)
 	w.exchange(to, from)
 	w.exchange(from, to)
 }
 
-// meetAll lets every two instances meet, until each has heard that all others heard all.
-func (w *world) meetAll(ids ...string) {
+// exchangeAll repeats exchanges between all pairs of instances, until each has received the
+// agreement hash of every other.
+func (w *simulation) exchangeAll(ids ...string) {
 	for range 3 {
 		for i, from := range ids {
 			for _, to := range ids[i+1:] {
-				w.meet(from, to)
+				w.exchangeBothWays(from, to)
 			}
 		}
 	}
 }
 
-func (k *HolderSet) word() Report {
-	return Report{Incarnation: k.lifetime, Hash: k.Hash(), AgreementHash: k.AgreementHash()}
+func (k *HolderSet) report() Report {
+	return Report{Incarnation: k.incarnation, Hash: k.Hash(), AgreementHash: k.AgreementHash()}
 }
 
-// Guards against parts of all that mint that exceed the whole, in any order of joins, restarts, outages and words.
+// Guards against shares of all minting instances that exceed the whole, in any order of joins, restarts, outages and reports.
 func TestPartsNeverExceedTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newSimulation()
 		var ids []string
 		for i := range rapid.IntRange(1, 12).Draw(t, "instances") {
 			id := fmt.Sprint("i", i)
@@ -128,31 +129,31 @@
 			case 2, 3:
 				w.exchange(id, rapid.SampledFrom(ids).Draw(t, "peer"))
 			case 4:
-				if w.live[id].Mints() {
+				if w.sets[id].Mints() {
 					w.minted[id] = true
 				}
 			case 5:
 				w.start(id)
 			}
-			check(t, w)
+			checkShares(t, w)
 		}
 	})
 }
 
-func check(t rapid.TB, w *world) {
+func checkShares(t rapid.TB, w *simulation) {
 	t.Helper()
 	var minting []string
-	for id, k := range w.live {
+	for id, k := range w.sets {
 		if k.Mints() {
 			minting = append(minting, id)
 		}
 	}
 	total := make(map[string]float64)
 	for _, id := range minting {
-		k := w.live[id]
+		k := w.sets[id]
 		for _, other := range minting {
 			if !k.has(other) {
-				t.Fatalf("%s divides without %s, which mints", id, other)
+				t.Fatalf("the set of %s lacks %s, which mints", id, other)
 			}
 		}
 		division := NewDivision(id, k.Holders())
@@ -167,135 +168,138 @@
 	}
 }
 
-// All instances restart while one of them is gone for good. Those that minted before
-// mint again at once, without a word from the one that cannot answer.
-func TestRestartNeedsNoWordFromTheGone(t *testing.T) {
+// All instances restart while one of them is lost for good. Those that minted before have to
+// mint again at once, without a report from the lost one. A joining instance has to wait for
+// it, since it may only be partitioned.
+func TestRestartDoesNotWaitForLostInstance(t *testing.T) {
 	k := NewHolderSet("a", 1)
 	k.RecordMinted()
 	k.Merge(holders("a", "b", "gone"), true)
 	if !k.Mints() {
-		t.Error("a restarted instance waits for one that is gone")
+		t.Error("a restarted instance waits for a lost one")
 	}
 	joins := NewHolderSet("c", 1)
 	joins.Merge(holders("a", "b", "c", "gone"), true)
 	for _, id := range []string{"a", "b"} {
-		joins.ApplyReport(id, joins.word())
+		joins.ApplyReport(id, joins.report())
 	}
 	if joins.Mints() {
-		t.Error("a new instance mints although one that may be cut off has not counted it")
+		t.Error("a joining instance mints although one that may be partitioned has not reported the set")
 	}
 }
 
-// An instance restarts and hears of the others one by one, before it has read who they
-// are. The first one holds no loan of its predecessor, another one does. Its whole part
-// is free only when the set is complete and all have spoken, or the loans have expired.
+// An instance restarts and learns of the others one by one, before it has read the complete
+// set from the store. The first one holds no loan of its earlier incarnation, another one
+// does. The whole share is clear only when the set is complete and all instances have
+// confirmed, or the loans have expired.
 func TestIncompleteSetProvesNoLoanGone(t *testing.T) {
 	k := NewHolderSet("a", 1)
 	k.Merge(holders("b"), false)
 	k.ConfirmNoLoans("b")
 	if k.TryClear(false) {
-		t.Error("cleared by the word of one, with others not known")
+		t.Error("cleared by one confirmation while the set is incomplete")
 	}
 	k.Merge(holders("a", "b", "c"), true)
 	if k.TryClear(false) {
-		t.Error("cleared though c has not spoken")
+		t.Error("cleared although c has not confirmed")
 	}
 	if silent := k.Unconfirmed(); !slices.Equal(silent, []string{"c"}) {
-		t.Errorf("to be asked: %v", silent)
+		t.Errorf("unconfirmed: %v, want [c]", silent)
 	}
 	k.ConfirmNoLoans("c")
 	if !k.TryClear(false) || !k.Cleared() || k.TryClear(false) {
-		t.Error("want it cleared once, when all have spoken")
+		t.Error("want it cleared once, when all have confirmed")
 	}
 	if silent := k.Unconfirmed(); len(silent) != 0 {
-		t.Errorf("%v are asked though all is clear", silent)
+		t.Errorf("%v are unconfirmed after it was cleared", silent)
 	}
 	if alone := NewHolderSet("a", 1); !alone.TryClear(true) {
-		t.Error("expired loans stand in the way")
+		t.Error("not cleared although the loans have expired")
 	}
 }
 
-// A newcomer that cannot reach the store yet has heard of two instances. A third one
-// joins and mints, the two restart, lose what they knew, and hear of each other from the
-// newcomer only. Its set lacks the third one: going by it, the two would mint a half
-// each beside the third one's part.
+// A joining instance that cannot reach the store yet has received the sets of two instances.
+// A third one joins and mints, the two restart without state, and receive each other only
+// in the set of the joining instance. That set lacks the third one: if it counted as
+// complete, the two would mint a half each beside the third one's share.
 func TestSetOfAnIncompletePeerIsNotComplete(t *testing.T) {
-	w := newWorld("a", "b", "third", "newcomer")
+	w := newSimulation("a", "b", "third", "newcomer")
 	for _, id := range []string{"a", "b"} {
 		w.write(id)
 	}
 	w.read("a")
 	w.read("b")
-	w.meet("a", "b")
-	w.meet("newcomer", "a")
+	w.exchangeBothWays("a", "b")
+	w.exchangeBothWays("newcomer", "a")
 	w.write("third")
 	w.read("third")
-	w.meetAll("a", "b", "third")
-	if !w.live["third"].Mints() {
-		t.Fatal("the third instance does not mint, though all others counted it")
+	w.exchangeAll("a", "b", "third")
+	if !w.sets["third"].Mints() {
+		t.Fatal("the third instance does not mint although all others have it in their sets")
 	}
 	for _, id := range []string{"a", "b"} {
 		w.start(id)
 	}
-	w.meet("a", "newcomer")
-	w.meet("b", "newcomer")
-	w.meet("a", "b")
+	w.exchangeBothWays("a", "newcomer")
+	w.exchangeBothWays("b", "newcomer")
+	w.exchangeBothWays("a", "b")
 	for _, id := range []string{"a", "b"} {
-		if w.live[id].Mints() {
-			t.Errorf("%s mints one in %d while the third one mints one in %d", id, w.live[id].Size(), w.live["third"].Size())
+		if w.sets[id].Mints() {
+			t.Errorf("%s mints one in %d while the third one mints one in %d", id, w.sets[id].Size(), w.sets["third"].Size())
 		}
 	}
 }
 
-// An instance counts a newcomer, restarts and forgets it. Before it has read the store, two
-// others that have not heard of the newcomer tell it their set, which is whole as long as
-// the newcomer does not mint. Then these two count the newcomer too, and it mints by the
-// word that the first one gave before its restart: the first one divides by one too few.
+// An instance adds a joining one to its set and restarts without state. Before it has read
+// the store, it receives the set of two others that do not have the joining instance, which
+// is complete as long as that one does not mint. Then these two add the joining instance as
+// well. It must not mint on the report that the first one sent before its restart, since the
+// first one now divides by one instance too few.
 func TestRestartedInstanceForgetsWhomItCounted(t *testing.T) {
-	w := newWorld("a", "b", "c", "new")
+	w := newSimulation("a", "b", "c", "new")
 	for _, id := range []string{"a", "b", "c"} {
 		w.write(id)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		w.read(id)
 	}
-	w.meetAll("a", "b", "c")
+	w.exchangeAll("a", "b", "c")
 	for _, id := range []string{"a", "b", "c"} {
-		if !w.live[id].Mints() {
+		if !w.sets[id].Mints() {
 			t.Fatalf("%s does not mint", id)
 		}
 	}
 	w.write("new")
 	w.read("new")
-	w.meet("new", "a")
+	w.exchangeBothWays("new", "a")
 	w.start("a")
-	w.meet("a", "b")
-	w.meet("a", "c")
-	w.live["a"].Mints()
-	w.meet("b", "new")
-	w.meet("c", "new")
-	w.live["new"].Mints()
-	check(t, w)
-	w.meetAll("a", "b", "c", "new")
-	check(t, w)
-	if !w.live["new"].Mints() {
-		t.Error("the newcomer never mints, though all count it")
+	w.exchangeBothWays("a", "b")
+	w.exchangeBothWays("a", "c")
+	w.sets["a"].Mints()
+	w.exchangeBothWays("b", "new")
+	w.exchangeBothWays("c", "new")
+	w.sets["new"].Mints()
+	checkShares(t, w)
+	w.exchangeAll("a", "b", "c", "new")
+	checkShares(t, w)
+	if !w.sets["new"].Mints() {
+		t.Error("the joining instance never mints although all have it in their sets")
 	}
 }
 
-// Guards against a newcomer that takes its own word to the store for an earlier lifetime's and mints beside loans of its part.
+// Guards against a joining instance that takes its own record in the store for that of an earlier incarnation and mints beside loans of its share.
 func TestOwnWordToTheStoreIsOfNoEarlierLifetime(t *testing.T) {
 	for name, first := range map[string]func(*HolderSet){
-		"it mints, then reads that it has":        func(k *HolderSet) { k.Mints() },
-		"an earlier lifetime's word comes late":   (*HolderSet).RecordNeverMinted,
-		"nothing is known of an earlier lifetime": func(*HolderSet) {},
+		"it mints, then reads its own record":            func(k *HolderSet) { k.Mints() },
+		"an earlier incarnation's record is stored late": (*HolderSet).RecordNeverMinted,
+		"nothing is known of an earlier incarnation":     func(*HolderSet) {},
 	} {
 		k := NewHolderSet("a0", 1)
 		k.Merge(holders("a0"), true)
 		first(k)
 		k.RecordMinted()
-		if want := name != "nothing is known of an earlier lifetime"; k.NoEarlierMint() != want {
-			t.Errorf("%s: a newcomer: %v, want %v", name, k.NoEarlierMint(), want)
+		if want := name != "nothing is known of an earlier incarnation"; k.NoEarlierMint() != want {
+			t.Errorf("%s: NoEarlierMint is %v, want %v", name, k.NoEarlierMint(), want)
 		}
 	}
 }
