--- a/coordination/admission/estimate.go
+++ b/coordination/admission/estimate.go
@@ -4,10 +4,11 @@
 	"time"
 )
 
-// averageWeight is the weight of a new sample once there are some.
-const averageWeight = 0.05
+// minSampleWeight is the weight of a new sample once there are many.
+const minSampleWeight = 0.05
 
-// average is an exponentially weighted mean. The first samples count evenly.
+// average is an exponentially weighted moving average. The first 1/minSampleWeight
+// samples have equal weights.
 type average struct {
 	value float64
 	count int
@@ -15,14 +16,13 @@
 
 func (a *average) add(sample float64) {
 	a.count++
-	weight := max(1/float64(a.count), averageWeight)
+	weight := max(1/float64(a.count), minSampleWeight)
 	a.value += weight * (sample - a.value)
 }
 
-// expected returns how long a newcomer would wait. It is 0 when a slot is free,
-// and as long as nothing is known of how long slots are held: the latest start
-// then settles the matter.
-func (q *Queue) expected(t *Ticket) time.Duration {
+// expectedWait returns how long a new request would wait. It is 0 if a slot is free,
+// and as long as no slot has been released: such a request waits up to its StartBy.
+func (q *Queue) expectedWait(t *Ticket) time.Duration {
 	if q.immediate(t) {
 		return 0
 	}
@@ -31,19 +31,19 @@
 	if own := c.flows.byAccount[t.Account]; own != nil {
 		count, cost = len(own.tickets), own.cost+t.Cost
 	}
-	return q.waitOf(c, c.flows.ahead(t.Account, count, cost, weightOf(t)))
+	return q.waitFor(c, c.flows.requestsAhead(t.Account, count, cost, weightOf(t)))
 }
 
-// waitBehind returns how long an account's i-th waiting request still waits.
-func (q *Queue) waitBehind(c *class, f *flow, i int) time.Duration {
+// remainingWait returns the expected wait of an account's i-th waiting request.
+func (q *Queue) remainingWait(c *class, f *flow, i int) time.Duration {
 	cost := 0.0
 	for _, t := range f.tickets[:i+1] {
 		cost += t.Cost
 	}
-	return q.waitOf(c, c.flows.ahead(f.account, i, cost, f.weight))
+	return q.waitFor(c, c.flows.requestsAhead(f.account, i, cost, f.weight))
 }
 
-func (q *Queue) waitOf(c *class, ahead float64) time.Duration {
+func (q *Queue) waitFor(c *class, ahead float64) time.Duration {
 	rate := q.drainRate(c)
 	if rate <= 0 {
 		return 0
@@ -51,12 +51,13 @@
 	return time.Duration((ahead + 1) / rate * float64(time.Second))
 }
 
-// drainRate is how many requests of the class start in a second while it waits.
-// Interactive requests take any slot that comes free; bulk only its own.
+// drainRate returns how many requests of the class start per second while others of
+// it wait. Interactive requests take any slot that bulk holds beyond its floor; bulk
+// takes only its own.
 func (q *Queue) drainRate(c *class) float64 {
 	if c == &q.interactive {
 		own := c.rate(min(c.running, q.capacity))
-		if c.hold.count == 0 {
+		if c.holdTime.count == 0 {
 			return 0
 		}
 		return own + q.bulk.rate(max(q.bulk.running-q.floorSlots(), 0))
--- a/coordination/admission/flows.go
+++ b/coordination/admission/flows.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// minQuantum is the cost that the lightest account may start in a round. It is
-// small against a request, so that shares are kept over few rounds.
+// minQuantum is the cost that the account with the least weight may start in a round.
+// It is small compared with a request, so that shares are fair over a short time.
 const minQuantum = 64
 
-// flow is the waiting requests of one account.
+// flow is the queue of waiting requests of one account.
 type flow struct {
 	account string
 	weight  float64
@@ -19,16 +19,17 @@
 	visited bool // the round's quantum has been added
 }
 
-// backlogWith returns what waits for the account's weight, with more added.
+// backlogWith returns the waiting cost divided by the account's weight, with the given
+// cost added.
 func (f *flow) backlogWith(cost float64) float64 { return (f.cost + cost) / f.weight }
 
-// flows is a deficit round robin over accounts: in each round an account may
-// start requests worth a quantum that goes with its weight. An account that
-// sends more than its share waits behind itself only.
+// flows schedules accounts by deficit round robin: in each round an account may
+// start requests up to a quantum in proportion to its weight. An account that sends
+// more than its share delays only its own requests.
 type flows struct {
 	byAccount map[string]*flow
 	ring      []*flow // accounts with waiting requests
-	at        int
+	next      int
 	count     int
 }
 
@@ -55,7 +56,7 @@
 	f.count++
 }
 
-// remove takes out a waiting ticket.
+// remove removes a waiting ticket.
 func (f *flows) remove(t *Ticket) {
 	own := f.byAccount[t.Account]
 	if own == nil {
@@ -73,26 +74,26 @@
 	}
 }
 
-// drop forgets an account without waiting requests, and its deficit: credit is
-// not saved up while nothing waits.
+// drop removes an account without waiting requests, with its deficit: no credit is
+// accumulated while nothing waits.
 func (f *flows) drop(own *flow) {
 	delete(f.byAccount, own.account)
 	i := slices.Index(f.ring, own)
 	f.ring = slices.Delete(f.ring, i, i+1)
-	if i < f.at {
-		f.at--
+	if i < f.next {
+		f.next--
 	}
-	if f.at >= len(f.ring) {
-		f.at = 0
+	if f.next >= len(f.ring) {
+		f.next = 0
 	}
 }
 
-// pop returns the next ticket. There has to be one.
+// pop removes and returns the next ticket. There must be at least one.
 func (f *flows) pop() *Ticket {
-	lightest := f.lightest()
+	lightest := f.minWeight()
 	for {
 		for range len(f.ring) {
-			own := f.ring[f.at]
+			own := f.ring[f.next]
 			if !own.visited {
 				own.visited = true
 				own.deficit += minQuantum * own.weight / lightest
@@ -103,14 +104,14 @@
 				return t
 			}
 			own.visited = false
-			f.at = (f.at + 1) % len(f.ring)
+			f.next = (f.next + 1) % len(f.ring)
 		}
 		f.skipRounds(lightest)
 	}
 }
 
-// skipRounds adds the quanta of the rounds in which no account could start
-// anything, but for the last of them.
+// skipRounds adds the quanta of the rounds in which no account can start a request,
+// up to the round before the first in which one can.
 func (f *flows) skipRounds(lightest float64) {
 	rounds := math.Inf(1)
 	for _, own := range f.ring {
@@ -122,7 +123,7 @@
 	}
 }
 
-func (f *flows) lightest() float64 {
+func (f *flows) minWeight() float64 {
 	lightest := math.Inf(1)
 	for _, own := range f.ring {
 		lightest = min(lightest, own.weight)
@@ -138,8 +139,8 @@
 	return sum / max(float64(len(f.ring)), 1)
 }
 
-// longest returns the account with the most waiting for its weight, or nil.
-func (f *flows) longest() *flow {
+// longestBacklog returns the account with the largest waiting cost for its weight, or nil.
+func (f *flows) longestBacklog() *flow {
 	var longest *flow
 	for _, own := range f.ring {
 		if longest == nil || own.backlogWith(0) > longest.backlogWith(0) {
@@ -149,7 +150,7 @@
 	return longest
 }
 
-// backlogOf returns what would wait for the ticket's account with the ticket.
+// backlogOf returns the backlog that the ticket's account would have with the ticket.
 func (f *flows) backlogOf(t *Ticket) float64 {
 	if own := f.byAccount[t.Account]; own != nil {
 		return own.backlogWith(t.Cost)
@@ -159,9 +160,10 @@
 
 func (f *flows) all() []*flow { return slices.Clone(f.ring) }
 
-// ahead returns how many waiting requests start before one that has cost
-// already waiting ahead of it in its own account, whose weight is given.
-func (f *flows) ahead(account string, ownCount int, ownCost, weight float64) float64 {
+// requestsAhead estimates how many waiting requests start before a request of an account
+// of the given weight. ownCount requests of the account are ahead of it, and ownCost is
+// their cost with its own.
+func (f *flows) requestsAhead(account string, ownCount int, ownCost, weight float64) float64 {
 	rounds := ownCost / weight
 	ahead := float64(ownCount)
 	for _, other := range f.ring {
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -1,10 +1,10 @@
-// Package admission decides when a request may go to a backend server: a queue
-// for each service with classes, fair shares of the client accounts and strict
-// waiting limits, and a limit of requests in flight for each server that adapts
-// to what the server can take.
+// Package admission decides when a request may be sent to a backend server. Each
+// service has a queue with request classes, fair shares of the client accounts and
+// strict waiting limits. Each server has a limit of requests in flight that adapts
+// to the server's capacity.
 //
-// The package does no I/O: the time comes in with each call, and what becomes
-// of a waiting request is told by its callback.
+// The package does no I/O: the time comes in with each call, and a callback
+// reports the outcome of a waiting request.
 package admission
 
 import (
@@ -17,55 +17,55 @@
 )
 
 const (
-	peakDecay    = 30 * time.Second       // how long a peak of interactive requests is remembered
-	reserveShare = 16                     // one slot in so many is kept free for interactive requests
-	minComeBack  = 100 * time.Millisecond // smallest time to come back that a refusal names
-	shedSlack    = 1.5                    // a waiting request is given up when its expected wait is so much too long
+	recentMaxDecay = 30 * time.Second       // time constant of the decay of recentMax
+	reserveDivisor = 16                     // one slot in so many is reserved for interactive requests
+	minRetryAfter  = 100 * time.Millisecond // minimum Retry-After of a refusal
+	shedFactor     = 1.5                    // a waiting request is refused if its expected wait is so many times the time left
 )
 
-// Request is a request that asks for a slot.
+// Request is a request for a slot.
 type Request struct {
 	Account string
 	Weight  float64 // the account's rate
 	Class   service.Class
 	Cost    float64   // tokens
 	StartBy time.Time // latest time to start
-	// OnSettle is called once, with the queue locked, when the request has got
-	// its slot or is refused. It must not call the queue.
+	// OnSettle is called once, with the queue locked, when the request is granted a
+	// slot or refused. It must not call the queue.
 	OnSettle func(*Ticket)
 }
 
 // Ticket is a request in the queue or with a slot.
 type Ticket struct {
 	Request
-	Refusal *refusal.Refusal // set when refused
-	granted bool
-	begun   time.Time // when the slot was granted
+	Refusal   *refusal.Refusal // set when refused
+	granted   bool
+	grantedAt time.Time // when the slot was granted
 }
 
-// Granted tells whether the request got a slot.
+// Granted reports whether the request was granted a slot.
 func (t *Ticket) Granted() bool { return t.granted }
 
-// Settings are the service's bounds.
+// Settings are the limits of a service.
 type Settings struct {
-	Queue     int     // requests waiting
-	BulkFloor float64 // share of the slots kept for bulk
+	Queue     int     // maximum number of waiting requests
+	BulkFloor float64 // fraction of the slots kept for bulk
 }
 
-// class is the waiting and running requests of one class.
+// class is the state of the waiting and running requests of one class.
 type class struct {
-	flows   flows
-	running int
-	hold    average // how long a request keeps its slot, in seconds
+	flows    flows
+	running  int
+	holdTime average // how long a request keeps its slot, in seconds
 }
 
-// rate returns how many slots the class frees in a second when it runs n
-// requests, by Little's law, or 0 when no request has ended yet.
+// rate returns how many slots the class frees per second when it runs n requests,
+// by Little's law, or 0 if no request has ended yet.
 func (c *class) rate(n int) float64 {
-	if c.hold.value <= 0 {
+	if c.holdTime.value <= 0 {
 		return 0
 	}
-	return float64(n) / c.hold.value
+	return float64(n) / c.holdTime.value
 }
 
 // Queue admits the requests of one service at one instance. It is safe for
@@ -74,12 +74,12 @@
 	mu          sync.Mutex
 	settings    Settings
 	capacity    int
-	forBulk     int // slots that bulk may use at most
+	maxBulk     int // maximum number of slots for bulk
 	interactive class
 	bulk        class
-	floorCredit float64 // grants due to bulk when the floor is less than a slot
-	peak        float64 // of interactive requests, decaying
-	peakAt      time.Time
+	floorCredit float64 // grants due to bulk while its floor is less than one slot
+	recentMax   float64 // decaying maximum of running and waiting interactive requests
+	recentMaxAt time.Time
 }
 
 // NewQueue returns a queue without slots.
@@ -87,12 +87,12 @@
 	return &Queue{settings: settings}
 }
 
-// Configure replaces the settings, the number of slots, and how many of them
-// bulk may use at most.
+// Configure replaces the settings, the number of slots, and the maximum number of
+// them that bulk may use.
 func (q *Queue) Configure(settings Settings, capacity, forBulk int, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.settings, q.capacity, q.forBulk = settings, capacity, min(forBulk, capacity)
+	q.settings, q.capacity, q.maxBulk = settings, capacity, min(forBulk, capacity)
 	q.grant(now)
 }
 
@@ -103,19 +103,19 @@
 	return &q.interactive
 }
 
-// Submit asks for a slot. A request that cannot make its latest start is
-// refused at once, so that its caller can come back or go elsewhere.
+// Submit requests a slot. A request that is not expected to start in time is refused
+// at once, so that its caller can retry or go elsewhere.
 func (q *Queue) Submit(item Request, now time.Time) *Ticket {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	t := &Ticket{Request: item}
-	q.notePeak(now)
-	if wait := q.expected(t); now.Add(wait).After(t.StartBy) {
+	q.updateRecentMax(now)
+	if wait := q.expectedWait(t); now.Add(wait).After(t.StartBy) {
 		q.refuse(t, wait-t.StartBy.Sub(now))
 		return t
 	}
 	if q.waiting() >= q.settings.Queue && !q.immediate(t) && !q.displace(t) {
-		q.refuse(t, q.expected(t))
+		q.refuse(t, q.expectedWait(t))
 		return t
 	}
 	q.class(t.Class).flows.push(t)
@@ -123,24 +123,25 @@
 	return t
 }
 
-// immediate tells whether a slot is free for the request at once.
+// immediate reports whether the request can start at once.
 func (q *Queue) immediate(t *Ticket) bool {
 	return q.class(t.Class).flows.count == 0 && q.free(t.Class)
 }
 
-// Release gives the slot back.
+// Release returns the slot of a granted request.
 func (q *Queue) Release(t *Ticket, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	c := q.class(t.Class)
 	c.running--
-	c.hold.add(now.Sub(t.begun).Seconds())
-	q.notePeak(now)
+	c.holdTime.add(now.Sub(t.grantedAt).Seconds())
+	q.updateRecentMax(now)
 	q.grant(now)
 }
 
-// Cancel takes a waiting request out: its caller went away or its latest start
-// has passed. It tells whether the request held no slot.
+// Cancel removes a waiting request whose caller has disconnected or whose StartBy
+// has passed. It returns false if the request holds a slot, which then has to be
+// released.
 func (q *Queue) Cancel(t *Ticket, now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -150,14 +151,14 @@
 	if t.Refusal != nil {
 		return true
 	}
-	wait := q.expected(t)
+	wait := q.expectedWait(t)
 	q.class(t.Class).flows.remove(t)
 	q.refuse(t, wait)
 	return true
 }
 
-// Shed refuses waiting requests that will not make their latest start any more,
-// because slots were lost or requests take longer than they did.
+// Shed refuses waiting requests that are no longer expected to start in time, because
+// slots were lost or requests take longer than before.
 func (q *Queue) Shed(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -171,9 +172,9 @@
 func (q *Queue) shedFlow(c *class, f *flow, now time.Time) {
 	for len(f.tickets) > 0 {
 		last := f.tickets[len(f.tickets)-1]
-		wait := q.waitBehind(c, f, len(f.tickets)-1)
+		wait := q.remainingWait(c, f, len(f.tickets)-1)
 		left := last.StartBy.Sub(now)
-		if left > 0 && wait.Seconds() <= shedSlack*left.Seconds() {
+		if left > 0 && wait.Seconds() <= shedFactor*left.Seconds() {
 			return
 		}
 		c.flows.remove(last)
@@ -181,23 +182,24 @@
 	}
 }
 
-// Stats is what the queue tells of itself.
+// Stats is the state of a queue.
 type Stats struct {
 	Capacity, Running, Waiting int
 	Interactive, Bulk          ClassStats
 }
 
-// ClassStats is how a class stands.
+// ClassStats is the state of a class.
 type ClassStats struct {
 	Waiting       int
-	FreeSlots     int           // slots that the class can still take
-	ExpectedWait  time.Duration // of the next request of a new account
-	AcceptsRemote bool          // for work from other failure domains
+	FreeSlots     int           // that the class may still use
+	ExpectedWait  time.Duration // of a request of an account without waiting requests
+	AcceptsRemote bool          // requests from other failure domains are accepted
 }
 
-// farShare is the part of the slots that has to be free for a class to take work
-// from other failure domains: the last ones are for the domain's own callers.
-const farShare = 8
+// remoteReserveDivisor sets the fraction of the slots (one in so many) that has to be free for
+// a class to accept requests from other failure domains. The last free slots are left to the
+// local domain's callers.
+const remoteReserveDivisor = 8
 
 // Stats returns the current state.
 func (q *Queue) Stats() Stats {
@@ -215,20 +217,21 @@
 func (q *Queue) classStats(of service.Class, room int) ClassStats {
 	c := q.class(of)
 	room = max(room, 0)
-	newcomer := &Ticket{Request: Request{Class: of, Weight: c.flows.meanWeight()}}
+	probe := &Ticket{Request: Request{Class: of, Weight: c.flows.meanWeight()}}
 	return ClassStats{
-		Waiting: c.flows.count, FreeSlots: room, ExpectedWait: q.expected(newcomer),
-		AcceptsRemote: c.flows.count == 0 && room > 0 && room*farShare >= q.capacity,
+		Waiting: c.flows.count, FreeSlots: room, ExpectedWait: q.expectedWait(probe),
+		AcceptsRemote: c.flows.count == 0 && room > 0 && room*remoteReserveDivisor >= q.capacity,
 	}
 }
 
 func (q *Queue) running() int { return q.interactive.running + q.bulk.running }
 func (q *Queue) waiting() int { return q.interactive.flows.count + q.bulk.flows.count }
 
-// refuse settles the ticket. comeBack is when a request would be in time again.
-func (q *Queue) refuse(t *Ticket, comeBack time.Duration) {
+// refuse settles the ticket with a refusal. retryAfter is when a retry is expected to start
+// in time.
+func (q *Queue) refuse(t *Ticket, retryAfter time.Duration) {
 	t.Refusal = refusal.New(refusal.CodeOverloaded, "the queue of the service is too long for this request").
-		After(max(comeBack, minComeBack))
+		After(max(retryAfter, minRetryAfter))
 	t.settle()
 }
 
@@ -238,7 +241,7 @@
 	}
 }
 
-// grant hands out free slots.
+// grant assigns free slots to waiting requests.
 func (q *Queue) grant(now time.Time) {
 	for {
 		c := q.next()
@@ -250,14 +253,14 @@
 			q.refuse(t, 0)
 			continue
 		}
-		t.granted, t.begun = true, now
+		t.granted, t.grantedAt = true, now
 		c.running++
-		q.countFloor(c)
+		q.updateFloorCredit(c)
 		t.settle()
 	}
 }
 
-// next returns the class whose turn it is, or nil when nothing can start.
+// next returns the class whose request starts next, or nil if none can start.
 func (q *Queue) next() *class {
 	bulkWaits := q.bulk.flows.count > 0
 	if bulkWaits && q.running() < q.capacity && q.bulkDue() {
@@ -272,8 +275,8 @@
 	return nil
 }
 
-// bulkDue tells whether bulk has less than its floor. With few slots the floor
-// is less than one; it is then a share of the grants.
+// bulkDue reports whether bulk has less than its floor. With few slots the floor is
+// less than one slot; it then applies as a fraction of the grants.
 func (q *Queue) bulkDue() bool {
 	if slots := q.floorSlots(); slots > 0 {
 		return q.bulk.running < slots
@@ -283,7 +286,7 @@
 
 func (q *Queue) floorSlots() int { return int(q.settings.BulkFloor * float64(q.capacity)) }
 
-func (q *Queue) countFloor(c *class) {
+func (q *Queue) updateFloorCredit(c *class) {
 	if c == &q.bulk {
 		q.floorCredit = max(q.floorCredit-1, 0)
 		return
@@ -293,9 +296,9 @@
 	}
 }
 
-// free tells whether a request of the class may take a slot now. Bulk beyond its
-// floor does not count against interactive requests: servers run those first,
-// and waiting here for a long review to end would only be longer.
+// free reports whether a request of the class may take a slot now. Bulk beyond its
+// floor does not count against interactive requests: servers prefer them by priority,
+// and they would only wait longer here, for a long bulk request to end.
 func (q *Queue) free(c service.Class) bool {
 	if c == service.ClassBulk {
 		return q.running() < q.capacity && q.bulk.running < q.bulkCeiling()
@@ -303,37 +306,38 @@
 	return q.interactive.running+min(q.bulk.running, q.floorSlots()) < q.capacity
 }
 
-// bulkCeiling is how many slots bulk may hold. Without it bulk would take every
-// slot, and an interactive request would wait for a long review to end: its p99
-// would be that of bulk. Slots enough for the last peak of interactive requests
-// stay free, and bulk keeps its floor.
+// bulkCeiling returns how many slots bulk may hold. Without this bound bulk would
+// take every slot, and an interactive request would wait for a long bulk request to
+// end: its p99 would be that of bulk. Enough slots for the recent maximum of
+// interactive requests stay free, but bulk keeps its floor.
 func (q *Queue) bulkCeiling() int {
-	reserve := int(math.Ceil(q.peak)) + 1 + q.capacity/reserveShare
-	return max(min(q.capacity-reserve, q.forBulk), q.floorSlots(), min(q.capacity, 1))
+	reserve := int(math.Ceil(q.recentMax)) + 1 + q.capacity/reserveDivisor
+	return max(min(q.capacity-reserve, q.maxBulk), q.floorSlots(), min(q.capacity, 1))
 }
 
-func (q *Queue) notePeak(now time.Time) {
-	if !q.peakAt.IsZero() {
-		q.peak *= math.Exp(-now.Sub(q.peakAt).Seconds() / peakDecay.Seconds())
+func (q *Queue) updateRecentMax(now time.Time) {
+	if !q.recentMaxAt.IsZero() {
+		q.recentMax *= math.Exp(-now.Sub(q.recentMaxAt).Seconds() / recentMaxDecay.Seconds())
 	}
-	q.peakAt = now
-	q.peak = max(q.peak, float64(q.interactive.running+q.interactive.flows.count))
+	q.recentMaxAt = now
+	q.recentMax = max(q.recentMax, float64(q.interactive.running+q.interactive.flows.count))
 }
 
-// displace makes room for the request by refusing one of the account that has
-// the most waiting for its weight. Without it an offender fills the queue, and
-// accounts within their share are refused. It tells whether there is room.
+// displace makes room in the queue by refusing a request of the account that has the
+// largest backlog for its weight. Without it an account far beyond its share would fill
+// the queue, and accounts within their shares would be refused. It reports whether
+// there is room.
 func (q *Queue) displace(t *Ticket) bool {
 	c := q.class(t.Class)
 	if t.Class == service.ClassInteractive && q.bulk.flows.count > 0 {
 		c = &q.bulk
 	}
-	longest := c.flows.longest()
+	longest := c.flows.longestBacklog()
 	if longest == nil || (c == q.class(t.Class) && longest.backlogWith(0) <= c.flows.backlogOf(t)) {
 		return false
 	}
 	victim := longest.tickets[len(longest.tickets)-1]
-	wait := q.waitBehind(c, longest, len(longest.tickets)-1)
+	wait := q.remainingWait(c, longest, len(longest.tickets)-1)
 	c.flows.remove(victim)
 	q.refuse(victim, wait)
 	return true
--- a/coordination/admission/queue_test.go
+++ b/coordination/admission/queue_test.go
@@ -13,9 +13,9 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// bench drives a queue in virtual time: every granted request holds its slot for
+// queueHarness drives a queue in virtual time. Every granted request holds its slot for
 // a fixed time.
-type bench struct {
+type queueHarness struct {
 	queue   *Queue
 	now     time.Time
 	hold    time.Duration
@@ -23,13 +23,13 @@
 	started map[string]int // by account
 }
 
-func newBench(capacity int, hold time.Duration) *bench {
-	b := &bench{queue: NewQueue(Settings{}), now: start, hold: hold, started: make(map[string]int)}
+func newQueueHarness(capacity int, hold time.Duration) *queueHarness {
+	b := &queueHarness{queue: NewQueue(Settings{}), now: start, hold: hold, started: make(map[string]int)}
 	b.queue.Configure(Settings{Queue: 1024, BulkFloor: 0.1}, capacity, capacity, b.now)
 	return b
 }
 
-func (b *bench) submit(account string, class service.Class, wait time.Duration) *Ticket {
+func (b *queueHarness) submit(account string, class service.Class, wait time.Duration) *Ticket {
 	return b.queue.Submit(Request{
 		Account: account, Weight: 1, Class: class, Cost: 100, StartBy: b.now.Add(wait),
 		OnSettle: func(t *Ticket) {
@@ -41,43 +41,43 @@
 	}, b.now)
 }
 
-// pass lets time go by and ends requests when they are due.
-func (b *bench) pass(d time.Duration) {
+// advance moves the time forward and releases the slots of requests that have ended.
+func (b *queueHarness) advance(d time.Duration) {
 	until := b.now.Add(d)
-	for len(b.running) > 0 && !b.running[0].begun.Add(b.hold).After(until) {
+	for len(b.running) > 0 && !b.running[0].grantedAt.Add(b.hold).After(until) {
 		t := b.running[0]
 		b.running = b.running[1:]
-		b.now = t.begun.Add(b.hold)
+		b.now = t.grantedAt.Add(b.hold)
 		b.queue.Release(t, b.now)
 	}
 	b.now = until
 }
 
-// A caller of a small account is answered although another account sends ten
-// times its rate through the same instance. All requests arrive, the slots are
-// busy, and the queue serves accounts in turn: the flood waits behind itself.
-func TestOffenderWaitsBehindItself(t *testing.T) {
-	b := newBench(4, 100*time.Millisecond)
+// Guards against an account that sends ten times as many requests as another through the
+// same instance and delays that one. The slots are busy, and the queue has to serve the
+// accounts in turn, so that the larger one delays only itself.
+func TestHeavyAccountDelaysOnlyItself(t *testing.T) {
+	b := newQueueHarness(4, 100*time.Millisecond)
 	for range 100 {
 		for range 10 {
-			b.submit("offender", service.ClassInteractive, time.Hour)
+			b.submit("heavy", service.ClassInteractive, time.Hour)
 		}
-		b.submit("modest", service.ClassInteractive, time.Hour)
-		b.pass(100 * time.Millisecond)
+		b.submit("small", service.ClassInteractive, time.Hour)
+		b.advance(100 * time.Millisecond)
 	}
-	if got := b.started["modest"]; got < 97 {
-		t.Errorf("the modest account started %d of 100 requests, its share allows 200", got)
+	if got := b.started["small"]; got < 97 {
+		t.Errorf("the small account started %d of 100 requests, its share allows 200", got)
 	}
 }
 
-// A caller whose request cannot start within its waiting limit hears of it at
-// once, with a time to come back. The slots are busy and requests ahead fill the
-// limit. The caller comes back when told, and starts in time: the time was true.
-func TestRefusedAtOnceWithATrueTimeToComeBack(t *testing.T) {
-	b := newBench(2, 100*time.Millisecond)
+// A request that cannot start within its waiting limit, since the slots are busy and too
+// many requests are ahead, has to be refused at once with a Retry-After. A retry after that
+// time has to start within the limit.
+func TestRefusalHasAccurateRetryAfter(t *testing.T) {
+	b := newQueueHarness(2, 100*time.Millisecond)
 	for range 8 {
 		b.submit("a", service.ClassInteractive, time.Second)
-		b.pass(50 * time.Millisecond)
+		b.advance(50 * time.Millisecond)
 	}
 	for range 40 {
 		b.submit("a", service.ClassInteractive, time.Hour)
@@ -90,71 +90,71 @@
 	if refused.Refusal.Run != refusal.NotRun || refused.Refusal.Code != refusal.CodeOverloaded {
 		t.Errorf("refused with %v", refused.Refusal)
 	}
-	b.pass(refused.Refusal.RetryAfter)
+	b.advance(refused.Refusal.RetryAfter)
 	again := b.submit("a", service.ClassInteractive, limit)
-	b.pass(limit)
+	b.advance(limit)
 	if !again.Granted() {
-		t.Errorf("came back after %s and did not start: %v", refused.Refusal.RetryAfter, again.Refusal)
+		t.Errorf("a retry after %s did not start: %v", refused.Refusal.RetryAfter, again.Refusal)
 	}
 }
 
-// A member question is answered while long reviews saturate the service, and the
-// reviews go on while questions saturate it: bulk leaves room for the last peak of
-// interactive requests and keeps its floor of the slots.
-func TestClassesLeaveEachOtherRoom(t *testing.T) {
-	b := newBench(40, time.Second)
+// Interactive requests have to start while bulk saturates the service, and bulk has to
+// continue while interactive requests saturate it: bulk leaves slots for the recent maximum
+// of interactive requests, and keeps its floor.
+func TestClassesLeaveEachOtherSlots(t *testing.T) {
+	b := newQueueHarness(40, time.Second)
 	for range 5 {
 		b.submit("m", service.ClassInteractive, time.Second)
 	}
-	b.pass(2 * time.Second)
+	b.advance(2 * time.Second)
 	for range 200 {
 		b.submit("review", service.ClassBulk, time.Hour)
 	}
 	if got := b.queue.bulk.running; got < 20 || got > 40-5 {
-		t.Errorf("bulk takes %d of 40 slots, after a peak of 5 questions", got)
+		t.Errorf("bulk takes %d of 40 slots, after at most 5 interactive requests at once", got)
 	}
 	if question := b.submit("m", service.ClassInteractive, time.Second); !question.Granted() {
-		t.Error("a question waits behind reviews")
+		t.Error("an interactive request waits behind bulk")
 	}
 	for range 200 {
 		b.submit("m", service.ClassInteractive, time.Hour)
 	}
-	b.pass(3 * time.Second)
+	b.advance(3 * time.Second)
 	if got := b.queue.bulk.running; got < 4 {
 		t.Errorf("bulk runs %d requests, its floor is 4 of 40", got)
 	}
 }
 
-// A caller within its share is not refused because another filled the queue: the
-// newest request of the account with the most waiting is refused in its place.
-func TestFullQueueRefusesTheOffender(t *testing.T) {
-	b := newBench(1, time.Second)
+// Guards against refusals of an account within its share when another one has filled the
+// queue. Instead, the newest request of the account with the largest backlog is refused.
+func TestFullQueueRefusesTheLargestBacklog(t *testing.T) {
+	b := newQueueHarness(1, time.Second)
 	b.queue.Configure(Settings{Queue: 10}, 1, 1, b.now)
-	b.submit("offender", service.ClassInteractive, time.Hour)
+	b.submit("heavy", service.ClassInteractive, time.Hour)
 	var last *Ticket
 	for range 10 {
-		last = b.submit("offender", service.ClassInteractive, time.Hour)
+		last = b.submit("heavy", service.ClassInteractive, time.Hour)
 	}
-	modest := b.submit("modest", service.ClassInteractive, time.Hour)
-	if modest.Refusal != nil {
-		t.Errorf("the modest account was refused: %v", modest.Refusal)
+	small := b.submit("small", service.ClassInteractive, time.Hour)
+	if small.Refusal != nil {
+		t.Errorf("the small account was refused: %v", small.Refusal)
 	}
 	if last.Refusal == nil || last.Refusal.Run != refusal.NotRun {
-		t.Errorf("the offender's newest request was not refused")
+		t.Errorf("the newest request of the heavy account was not refused")
 	}
-	if more := b.submit("offender", service.ClassInteractive, time.Hour); more.Refusal == nil {
+	if more := b.submit("heavy", service.ClassInteractive, time.Hour); more.Refusal == nil {
 		t.Error("the queue took more than its bound")
 	}
 }
 
-// Callers whose requests will not start in time hear of it as soon as that is
-// known. Nine of ten servers are lost, and with them the drain rate: of 80 that
-// wait for a second at most, about ten can still start; the rest is refused now.
+// Requests that will not start in time have to be refused as soon as that is known. Nine
+// of ten slots are lost, and with them the drain rate: of 80 requests that wait for a
+// second at most, about ten can still start, and the others are refused at once.
 func TestShedWhenSlotsAreLost(t *testing.T) {
-	b := newBench(10, 100*time.Millisecond)
+	b := newQueueHarness(10, 100*time.Millisecond)
 	for range 40 {
 		b.submit("a", service.ClassInteractive, time.Second)
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
 	for range 80 {
 		b.submit("a", service.ClassInteractive, time.Second)
@@ -166,11 +166,11 @@
 	}
 }
 
-// Whatever callers, servers and the clock do: each is settled once, none starts after its latest start, none waits
-// beside a slot that it may use, and a caller that left holds nothing.
+// In any sequence of events, each request is settled once, none starts after its StartBy,
+// no interactive request waits while a slot is free, and a cancelled one holds no slot.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(rapid.IntRange(0, 8).Draw(t, "capacity"), time.Hour)
+		b := newQueueHarness(rapid.IntRange(0, 8).Draw(t, "capacity"), time.Hour)
 		settled := make(map[*Ticket]int)
 		var all []*Ticket
 		submit := func() {
@@ -196,7 +196,7 @@
 				}
 			case step == 2:
 				if k := pick(); b.queue.Cancel(k, b.now) && k.Refusal == nil {
-					t.Fatal("left without a refusal")
+					t.Fatal("cancelled without a refusal")
 				}
 			case step == 3:
 				b.now = b.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pass")) * time.Millisecond)
@@ -211,14 +211,14 @@
 	})
 }
 
-func checkInvariants(t *rapid.T, b *bench, all []*Ticket, settled map[*Ticket]int, released map[*Ticket]bool) {
+func checkInvariants(t *rapid.T, b *queueHarness, all []*Ticket, settled map[*Ticket]int, released map[*Ticket]bool) {
 	running, waiting := 0, 0
 	for _, k := range all {
 		switch {
 		case k.Granted() && k.Refusal != nil:
 			t.Fatal("granted and refused")
-		case k.Granted() && k.begun.After(k.StartBy):
-			t.Fatal("started after its latest start")
+		case k.Granted() && k.grantedAt.After(k.StartBy):
+			t.Fatal("started after its StartBy")
 		case k.Granted() && !released[k]:
 			running++
 		case !k.Granted() && k.Refusal == nil:
@@ -236,13 +236,13 @@
 		t.Fatalf("counts: running %d, %d; waiting %d, %d", running, b.queue.running(), waiting, b.queue.waiting())
 	}
 	if b.queue.interactive.flows.count > 0 && running < b.queue.capacity {
-		t.Fatal("an interactive request waits beside a free slot")
+		t.Fatal("an interactive request waits while a slot is free")
 	}
 }
 
-// Two instances use one server without talking. One came later, when the other
-// had all of it. Both see what waits in the server and adapt alone: soon neither
-// has much more than half, and the server is in use but not swamped.
+// Two instances use one server without coordination. The second one starts when the first
+// uses the whole server. Both adapt to the waiting requests that the server reports: the
+// limits have to converge to about a half each, with the server neither idle nor overloaded.
 func TestLimitersShareAServer(t *testing.T) {
 	const batch = 32
 	first, second := NewLimiter(), NewLimiter()
@@ -273,9 +273,9 @@
 	}
 }
 
-// Bulk fills a server's batch, and an interactive request comes. It is not held
-// back by what bulk did: bulk's limit gives way, the limit of all stays.
-func TestBulkGivesWayFirst(t *testing.T) {
+// Bulk fills a server's batch, and interactive requests are late. The bulk limit has to be
+// reduced, and the total limit has to stay.
+func TestBulkLimitIsReducedFirst(t *testing.T) {
 	l := NewLimiter()
 	now := start
 	for range 40 {
@@ -291,6 +291,6 @@
 	}
 	after, bulkAfter := l.Limit(100)
 	if after != before || bulkAfter > bulkBefore/2 {
-		t.Errorf("limits of all %d, then %d; of bulk %d, then %d", before, after, bulkBefore, bulkAfter)
+		t.Errorf("total limit %d, then %d; bulk limit %d, then %d", before, after, bulkBefore, bulkAfter)
 	}
 }
