--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry bounds what failures may add to the load. Only the instance
-// that the caller talks to retries, only when the request did not run or may be
-// repeated, and only within a budget kept for each service.
+// Package retry bounds the load that retries add after failures. Only the instance
+// that received the request from the caller retries, only if the request did not
+// run or may be repeated, and only within a budget for each service.
 package retry
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// Backoff bounds between attempts.
+// Bounds of the backoff between attempts.
 const (
 	minBackoff = 10 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// maxCredit is how many retries may be saved up. A budget starts with as many,
-// lent on its first requests: retries never exceed the larger of maxCredit and
-// the budget's share of the requests.
+// maxCredit is the maximum credit, in retries. A budget starts with this credit, and
+// what the first requests earn repays it, so retries never exceed the larger of
+// maxCredit and the budget's fraction of the requests.
 const maxCredit = 10
 
-// Budget counts requests and retries of each service. It is safe for concurrent use.
+// Budget is the retry budget of each service. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	credit map[string]float64
-	owed   map[string]float64 // of the credit lent at the start
+	owed   map[string]float64 // what is left to repay of the initial credit
 }
 
 // NewBudget returns a budget with full credit for every service.
@@ -35,7 +35,7 @@
 	return &Budget{credit: make(map[string]float64), owed: make(map[string]float64)}
 }
 
-// RecordRequest adds a first attempt's share to the credit.
+// RecordRequest adds to the credit what a request of a caller earns.
 func (b *Budget) RecordRequest(s *service.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,10 +45,10 @@
 	earned := s.Retry.Budget
 	back := min(earned, b.owed[s.Name])
 	b.owed[s.Name] -= back
-	b.credit[s.Name] = min(b.get(s)+earned-back, maxCredit)
+	b.credit[s.Name] = min(b.creditOf(s)+earned-back, maxCredit)
 }
 
-func (b *Budget) get(s *service.Service) float64 {
+func (b *Budget) creditOf(s *service.Service) float64 {
 	credit, ok := b.credit[s.Name]
 	if !ok {
 		return maxCredit
@@ -56,7 +56,7 @@
 	return credit
 }
 
-// Retryable tells whether a failed attempt may be followed by another at all.
+// Retryable reports whether a failed attempt may be followed by another at all.
 func Retryable(r *refusal.Refusal, repeatable bool) bool {
 	switch r.Code {
 	case refusal.CodeBackendFailed, refusal.CodeNoServer, refusal.CodeLeaving, refusal.CodePeerUnreachable, refusal.CodeOverloaded:
@@ -66,20 +66,21 @@
 	return r.Run == refusal.NotRun || (repeatable && r.Run == refusal.Unknown)
 }
 
-// placed tells whether the refusal came after a backend server was tried. What
-// only a queue or a routing decision refused put no load on servers.
-func placed(code refusal.Code) bool {
+// reachedBackend reports whether the refused attempt may have reached a backend server.
+// Attempts that a queue or a routing decision refused put no load on servers.
+func reachedBackend(code refusal.Code) bool {
 	return code == refusal.CodeBackendFailed || code == refusal.CodePeerUnreachable
 }
 
-// Take spends a retry after a refusal and returns how long to wait before it.
-// attempt is the number of attempts made. Going elsewhere after a queue refused
-// costs nothing of the budget; the number of attempts bounds it.
+// Take spends a retry after a refusal and returns the backoff before it, or false if no
+// retry is allowed. attempt is the number of attempts made, and left the time to the
+// request's deadline. A retry of an attempt that put no load on servers costs nothing of
+// the budget and is bounded by the number of attempts only.
 func (b *Budget) Take(s *service.Service, code refusal.Code, attempt int, left time.Duration, rng *rand.Rand) (time.Duration, bool) {
 	if attempt >= int(s.Retry.Attempts) {
 		return 0, false
 	}
-	if !placed(code) {
+	if !reachedBackend(code) {
 		return 0, left > 0
 	}
 	ceiling := min(minBackoff<<attempt, maxBackoff)
@@ -89,7 +90,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	credit := b.get(s)
+	credit := b.creditOf(s)
 	if credit < 1 {
 		return 0, false
 	}
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -9,9 +9,9 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// Half of the attempts fail on backend servers. Retries stay within a tenth of
-// the requests, once there were a hundred: the servers that still work do not
-// drown in what the others failed.
+// Guards against retries that overload the remaining servers. Half of the attempts fail
+// on backend servers; from a hundred requests on, retries have to stay within a tenth of
+// the requests.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	svc := &service.Service{Name: "model", Retry: service.Retry{Budget: 0.1, Attempts: 3}}
 	budget, rng := NewBudget(), rand.New(rand.NewPCG(1, 1))
@@ -30,16 +30,16 @@
 	}
 }
 
-// A request whose deadline is near, that used up its attempts, that may have run
-// and may not be repeated, or that is refused for good is not sent again.
+// A request must not be retried if its deadline has passed, its attempts are used up, it may
+// have run and may not be repeated, or it was refused for good.
 func TestWhatIsNotRetried(t *testing.T) {
 	svc := &service.Service{Name: "model", Retry: service.Retry{Budget: 0.1, Attempts: 3}}
 	budget, rng := NewBudget(), rand.New(rand.NewPCG(1, 1))
 	if _, ok := budget.Take(svc, refusal.CodeBackendFailed, 3, time.Minute, rng); ok {
-		t.Error("a fourth attempt")
+		t.Error("a fourth attempt was allowed, the maximum is 3")
 	}
 	if _, ok := budget.Take(svc, refusal.CodeOverloaded, 1, 0, rng); ok {
-		t.Error("an attempt after the deadline")
+		t.Error("an attempt after the deadline was allowed")
 	}
 	unknown := refusal.New(refusal.CodeBackendFailed, "").WithRun(refusal.Unknown)
 	for _, c := range []struct {
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// WindowSettings bound the repeats of a service over the whole fleet: in every
-// window at most Ratio times its requests, and Slack beside.
+// WindowSettings bound the retries of a service over the whole fleet: in every window at
+// most Ratio times its requests, plus Slack.
 type WindowSettings struct {
 	Ratio  float64
 	Slack  float64
@@ -14,18 +14,19 @@
 }
 
 const (
-	// windowShare is the part of the bound that the fleet hands out. The rest covers
-	// the windows that straddle a restart, after which an instance has forgotten
-	// what it spent.
-	windowShare = 0.6
-	// windowParts is in how many parts a window is counted. A part is dropped as a
-	// whole, so a window that is judged never holds more than is counted.
-	windowParts = 10
+	// windowFraction is the fraction of the bound that instances use. The rest covers
+	// windows that include a restart, after which an instance no longer knows which
+	// retries it has spent.
+	windowFraction = 0.6
+	// windowBuckets is the number of buckets that a window is counted in. A bucket is
+	// dropped as a whole, so the counted period is at least nine tenths of a window and
+	// never longer than a window.
+	windowBuckets = 10
 )
 
-// Window keeps one instance's part of the bound. It counts requests and repeats of
-// the last window and allows a repeat while they stay within the ratio and an even
-// part of the slack. It is safe for concurrent use.
+// Window enforces one instance's share of the bound. It counts requests and retries of
+// the last window and allows a retry within the ratio and an even share of the slack.
+// It is safe for concurrent use.
 type Window struct {
 	settings WindowSettings
 
@@ -34,12 +35,12 @@
 }
 
 type counts struct {
-	part     int64 // number of the latest part
-	requests [windowParts]float64
-	repeats  [windowParts]float64
+	bucket   int64 // number of the current bucket since the Unix epoch
+	requests [windowBuckets]float64
+	retries  [windowBuckets]float64
 }
 
-// NewWindow returns a window that has seen nothing.
+// NewWindow returns a window without requests and retries.
 func NewWindow(settings WindowSettings) *Window {
 	return &Window{settings: settings, services: make(map[string]*counts)}
 }
@@ -50,12 +51,12 @@
 		c = &counts{}
 		w.services[service] = c
 	}
-	part := now.UnixNano() / int64(w.settings.Window/windowParts)
-	for missed := min(part-c.part, windowParts); missed > 0; missed-- {
-		at := (part - missed + 1) % windowParts
-		c.requests[at], c.repeats[at] = 0, 0
+	bucket := now.UnixNano() / int64(w.settings.Window/windowBuckets)
+	for missed := min(bucket-c.bucket, windowBuckets); missed > 0; missed-- {
+		at := (bucket - missed + 1) % windowBuckets
+		c.requests[at], c.retries[at] = 0, 0
 	}
-	c.part = max(c.part, part)
+	c.bucket = max(c.bucket, bucket)
 	return c
 }
 
@@ -64,23 +65,24 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts(service, now)
-	c.requests[c.part%windowParts]++
+	c.requests[c.bucket%windowBuckets]++
 }
 
-// Take spends one repeat. instances is how many share the slack.
+// Take spends one retry and reports whether it is allowed. instances is the number of
+// instances that share the slack.
 func (w *Window) Take(service string, instances int, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts(service, now)
-	requests, repeats := 0.0, 0.0
+	requests, retries := 0.0, 0.0
 	for i := range c.requests {
 		requests += c.requests[i]
-		repeats += c.repeats[i]
+		retries += c.retries[i]
 	}
-	limit := windowShare * (w.settings.Ratio*requests + w.settings.Slack/float64(max(instances, 1)))
-	if repeats+1 > limit {
+	limit := windowFraction * (w.settings.Ratio*requests + w.settings.Slack/float64(max(instances, 1)))
+	if retries+1 > limit {
 		return false
 	}
-	c.repeats[c.part%windowParts]++
+	c.retries[c.bucket%windowBuckets]++
 	return true
 }
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -7,10 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Several instances see requests and ask for repeats at any times, and forget all in a
-// restart now and then. In no window of the set length do the repeats of all of them
-// exceed the ratio of the requests in it and the slack, by a checker that keeps every
-// event and knows nothing of the budget's parts.
+// Guards against windows in which the retries of all instances exceed the ratio of the
+// requests plus the slack. Several instances receive requests and retry at random times, and
+// some restart and lose their counts. The checker keeps every event and does not use buckets.
 func TestWindowBoundsTheFleet(t *testing.T) {
 	settings := WindowSettings{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
@@ -20,7 +19,7 @@
 			windows[i] = NewWindow(settings)
 		}
 		now := time.Unix(1_000_000, 0)
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		restarts := 0
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
@@ -35,20 +34,20 @@
 				}
 			default:
 				if windows[i].Take("s", instances, now) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			from := end.Add(-settings.Window)
-			if got, limit := within(repeats, from, end), settings.Ratio*within(requests, from, end)+settings.Slack; got > limit {
-				t.Fatalf("%.0f repeats in a window, at most %.1f", got, limit)
+			if got, limit := countWithin(retries, from, end), settings.Ratio*countWithin(requests, from, end)+settings.Slack; got > limit {
+				t.Fatalf("%.0f retries in a window, at most %.1f", got, limit)
 			}
 		}
 	})
 }
 
-func within(events []time.Time, from, to time.Time) float64 {
+func countWithin(events []time.Time, from, to time.Time) float64 {
 	n := 0.0
 	for _, e := range events {
 		if e.After(from) && !e.After(to) {
