--- a/coordination/quota/documents.go
+++ b/coordination/quota/documents.go
@@ -42,11 +42,11 @@
 	if fleet == nil {
 		return // without it no share is known; the first share takes effect at once
 	}
-	l.Divide(accounts, fleetDivision{fleet, l.domain}, revision, now)
+	l.UpdateDivided(accounts, fleetDivision{fleet, l.domain}, revision, now)
 }
 
-// Divide is like Update, with a division other than that of the fleet document.
-func (l *Ledger) Divide(accounts []*service.Account, division Division, revision int64, now time.Time) {
+// UpdateDivided is like Update, with a division other than that of the fleet document.
+func (l *Ledger) UpdateDivided(accounts []*service.Account, division Division, revision int64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	redivided := division != l.division
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -80,9 +80,9 @@
 	return l
 }
 
-// DisablePassing makes small requests wait behind large ones. It is called before the
+// DisableOvertaking makes small requests wait behind large ones. It is called before the
 // ledger is used.
-func (l *Ledger) DisablePassing() { l.overtaking = false }
+func (l *Ledger) DisableOvertaking() { l.overtaking = false }
 
 func (l *Ledger) shard(name string) *shard {
 	return &l.shards[xxhash.Sum64String(name)%shardCount]
--- a/coordination/quota/restart_test.go
+++ b/coordination/quota/restart_test.go
@@ -165,7 +165,7 @@
 // With overtaking disabled, the small order waits behind the long prompt.
 func TestOvertakingIsDisabled(t *testing.T) {
 	l := newHolderLedger(1, start)
-	l.DisablePassing()
+	l.DisableOvertaking()
 	now := start.Add(20 * time.Second)
 	l.Wait("acme", 900, time.Minute, now)
 	if _, ok := l.Admit("acme", 10, now); ok {
--- a/coordination/quotashare/loans_test.go
+++ b/coordination/quotashare/loans_test.go
@@ -51,7 +51,7 @@
 	}
 	for i, h := range holders {
 		l := quota.New(h.ID)
-		l.Divide(docs, NewDivision(h.ID, holders), 1, f.now)
+		l.UpdateDivided(docs, NewDivision(h.ID, holders), 1, f.now)
 		l.SetHeldSlots([]slots.HeldSlot{{Epoch: 1, Until: f.now.Add(time.Hour)}}, f.now)
 		f.members = append(f.members, slots.Member{ID: h.ID, Incarnation: uint64(i)})
 		f.ledgers = append(f.ledgers, l)
--- a/instance/routed/facts.go
+++ b/instance/routed/facts.go
@@ -171,7 +171,7 @@
 			docs = append(docs, &service.Account{Name: a.Name, Rate: a.Rate, Burst: a.Burst})
 		}
 	}
-	n.ledger.Divide(docs, n.division, int64(n.ledgerHolders), time.Now())
+	n.ledger.UpdateDivided(docs, n.division, int64(n.ledgerHolders), time.Now())
 }
 
 // publishLoads tells the other instances how the services stand here.
--- a/instance/routed/node.go
+++ b/instance/routed/node.go
@@ -136,7 +136,7 @@
 		listeners: make(map[string]net.Listener), failed: make(chan error, 8),
 	}
 	if !set.On(features.OvertakeLargeWaits) {
-		n.ledger.DisablePassing()
+		n.ledger.DisableOvertaking()
 	}
 	n.background, n.stopLoops = context.WithCancel(context.Background())
 	n.members = membership.New(n.selfEntry(), n.started)
