--- a/coordination/membership/exchange.go
+++ b/coordination/membership/exchange.go
@@ -10,13 +10,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// loadFresh is how long a member's own word on its domain's load is preferred to
-// that of another member.
-const loadFresh = 2 * RoundInterval
+// loadReportMaxAge is how long a member's own report on its domain's load is
+// preferred to the report of another member of the domain.
+const loadReportMaxAge = 2 * RoundInterval
 
-const heartbeatBytes = 2 // of each member in a view
+const heartbeatBytes = 2 // per member in a view
 
-// domainIndex is the order of a domain's members and the hashes over it.
+// domainIndex holds the ids of a domain's members in order, and the hashes over them.
 type domainIndex struct {
 	ids                     []string
 	rosterHash, versionHash uint64
@@ -27,7 +27,7 @@
 	if t.index != nil {
 		return t.index
 	}
-	t.index, t.hash = make(map[string]*domainIndex), 0
+	t.index, t.fleetHash = make(map[string]*domainIndex), 0
 	for id, r := range t.members {
 		domain := r.entry.GetDomain()
 		if t.index[domain] == nil {
@@ -38,7 +38,7 @@
 	for domain, index := range t.index {
 		slices.Sort(index.ids)
 		index.rosterHash, index.versionHash = t.hashes(index.ids)
-		t.hash ^= xxhash.Sum64String(domain) * (index.versionHash | 1)
+		t.fleetHash ^= xxhash.Sum64String(domain) * (index.versionHash | 1)
 	}
 	return t.index
 }
@@ -58,11 +58,11 @@
 }
 
 func (t *Table) view(domain string) *peerpb.DomainView {
-	own := t.members[t.self].entry
+	local := t.members[t.self].entry
 	index := t.indexes()[domain]
 	view := &peerpb.DomainView{
 		Domain: domain, RosterHash: index.rosterHash, VersionHash: index.versionHash,
-		ConfigRevision: own.GetConfigRevision(), Heartbeats: make([]byte, 0, heartbeatBytes*len(index.ids)),
+		ConfigRevision: local.GetConfigRevision(), Heartbeats: make([]byte, 0, heartbeatBytes*len(index.ids)),
 	}
 	for n, id := range index.ids {
 		r := t.members[id]
@@ -75,85 +75,85 @@
 	return view
 }
 
-// otherView returns the view of another domain for a member of the own one, a
-// different one each time. In a large fleet it makes up for exchanges with other
-// domains that are lost; in a small one there is no need.
-func (t *Table) otherView(peerDomain string) *peerpb.DomainView {
-	own := t.members[t.self].entry.GetDomain()
-	if peerDomain != own || len(t.members) <= fullFanout {
+// relayView returns the view of another domain for a peer in the local domain, a
+// different one each time. In a large fleet it makes up for lost exchanges with other
+// domains; in a small one it is not needed.
+func (t *Table) relayView(peerDomain string) *peerpb.DomainView {
+	localDomain := t.members[t.self].entry.GetDomain()
+	if peerDomain != localDomain || len(t.members) <= maxFullMesh {
 		return nil
 	}
 	domains := slices.Sorted(maps.Keys(t.indexes()))
-	t.relayed++
-	domain := domains[t.relayed%len(domains)]
-	if domain == own {
+	t.relayedViews++
+	domain := domains[t.relayedViews%len(domains)]
+	if domain == localDomain {
 		return nil
 	}
 	return t.view(domain)
 }
 
-// applyView takes in a domain's counters and tells whether its entries are the
-// same here.
+// applyView applies a domain's heartbeat counters and reports whether the sender has
+// the same entries of the domain as this table.
 func (t *Table) applyView(view *peerpb.DomainView, now time.Time) bool {
 	index := t.indexes()[view.GetDomain()]
 	if index == nil || index.rosterHash != view.GetRosterHash() || len(view.GetHeartbeats()) != heartbeatBytes*len(index.ids) {
 		return false
 	}
-	behind := make(map[uint32]int64, len(view.GetBehind()))
+	lagging := make(map[uint32]int64, len(view.GetBehind()))
 	for n, position := range view.GetBehind() {
 		if n < len(view.GetBehindRevision()) {
-			behind[position] = view.GetBehindRevision()[n]
+			lagging[position] = view.GetBehindRevision()[n]
 		}
 	}
 	for n, id := range index.ids {
 		if id == t.self {
 			continue
 		}
-		revision, ok := behind[uint32(n)]
+		revision, ok := lagging[uint32(n)]
 		if !ok {
 			revision = view.GetConfigRevision()
 		}
 		r := t.members[id]
 		low := binary.LittleEndian.Uint16(view.GetHeartbeats()[heartbeatBytes*n:])
-		t.hear(r, extend(r.heartbeat, low), r.entry.GetIncarnation(), revision, now)
+		t.applyHeartbeat(r, extendCounter(r.heartbeat, low), r.entry.GetIncarnation(), revision, now)
 	}
 	return index.versionHash == view.GetVersionHash()
 }
 
-// extend returns the counter nearest to the known one that ends in the given
-// bits. Half of the range is nine hours of rounds, and an instance that is
-// silent for so long has been forgotten.
-func extend(known uint64, low uint16) uint64 {
+// extendCounter returns the counter nearest to the known one that ends in the given
+// low bits. Half of their range is nine hours of rounds, and an instance that was
+// silent for that long has been forgotten.
+func extendCounter(known uint64, low uint16) uint64 {
 	return known + uint64(int64(int16(low-uint16(known))))
 }
 
-// Request returns what an exchange with a peer begins with. To one that is not
-// known, nil, it carries the own entry; to one of another domain, or in a small
-// fleet, the load of the own domain.
+// Request returns the first message of an exchange with a peer. To an unknown peer,
+// nil, it carries the local entry; to a peer of another domain, or in a small fleet,
+// the load of the local domain.
 func (t *Table) Request(peer *peerpb.Member) *peerpb.ExchangeRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	own := t.members[t.self]
-	req := &peerpb.ExchangeRequest{From: t.self, View: t.view(own.entry.GetDomain()), FleetHash: t.hash}
+	local := t.members[t.self]
+	req := &peerpb.ExchangeRequest{From: t.self, View: t.view(local.entry.GetDomain()), FleetHash: t.fleetHash}
 	if peer == nil {
-		req.Members = []*peerpb.Member{t.outgoing(own, own.heard)}
+		req.Members = []*peerpb.Member{t.wireEntry(local, local.lastContact)}
 	}
 	req.Loads = t.loadsFor(peer.GetDomain())
-	req.OtherView = t.otherView(peer.GetDomain())
+	req.OtherView = t.relayView(peer.GetDomain())
 	return req
 }
 
-// loadsFor returns the load to tell a peer of a domain. In the own domain it is
-// known: every instance polls the same backend servers.
+// loadsFor returns the load report to send to a peer of a domain. Peers of the local
+// domain need none in a large fleet: every instance polls the same backend servers.
 func (t *Table) loadsFor(domain string) []*peerpb.ServiceLoad {
-	own := t.members[t.self].entry
-	if domain == own.GetDomain() && len(t.members) > fullFanout {
+	local := t.members[t.self].entry
+	if domain == local.GetDomain() && len(t.members) > maxFullMesh {
 		return nil
 	}
-	return own.GetLoads()
+	return local.GetLoads()
 }
 
-// ByPeerAddress returns the entry of the instance with a peer address, nil when there is none.
+// ByPeerAddress returns the entry of the instance with a peer address, or nil.
 func (t *Table) ByPeerAddress(address string) *peerpb.Member {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// Respond answers an exchange that a peer began, or its follow-up.
+// Respond answers the first message of an exchange that a peer began, or its follow-up.
 func (t *Table) Respond(req *peerpb.ExchangeRequest, now time.Time) *peerpb.ExchangeResponse {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,28 +175,28 @@
 	t.applyDigests(req.GetDigests(), now)
 	resp := &peerpb.ExchangeResponse{From: t.self}
 	if domains := req.GetDigestDomains(); len(domains) > 0 {
-		resp.Members = t.lacking(req.GetDigests(), domains, now)
+		resp.Members = t.missingEntries(req.GetDigests(), domains, now)
 	}
 	if req.GetView() == nil {
 		return resp
 	}
 	same := t.applyView(req.GetView(), now)
-	t.hearLoads(req.GetFrom(), req.GetLoads(), now)
+	t.applyLoads(req.GetFrom(), req.GetLoads(), now)
 	t.applyView(req.GetOtherView(), now)
-	resp.View, resp.FleetHash = t.view(t.members[t.self].entry.GetDomain()), t.hash
+	resp.View, resp.FleetHash = t.view(t.members[t.self].entry.GetDomain()), t.fleetHash
 	resp.Loads = t.loadsFor(req.GetView().GetDomain())
-	resp.OtherView = t.otherView(req.GetView().GetDomain())
+	resp.OtherView = t.relayView(req.GetView().GetDomain())
 	if !same {
 		resp.Digests = t.digests([]string{req.GetView().GetDomain()})
 	}
-	if req.GetFleetHash() != t.hash {
+	if req.GetFleetHash() != t.fleetHash {
 		resp.Domains = t.domainHashes()
 	}
 	return resp
 }
 
-// ApplyResponse takes in the answer to Request and returns the follow-up that brings
-// both sides together, nil when they agree.
+// ApplyResponse applies the response to Request and returns the follow-up message
+// that reconciles both tables, or nil when they agree.
 func (t *Table) ApplyResponse(resp *peerpb.ExchangeResponse, now time.Time) *peerpb.ExchangeRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,23 +206,23 @@
 	if resp.GetView() == nil {
 		return nil
 	}
-	own := t.members[t.self].entry.GetDomain()
+	localDomain := t.members[t.self].entry.GetDomain()
 	differing := make(map[string]bool)
 	if !t.applyView(resp.GetView(), now) {
 		differing[resp.GetView().GetDomain()] = true
 	}
 	t.applyView(resp.GetOtherView(), now)
-	t.hearLoads(resp.GetFrom(), resp.GetLoads(), now)
+	t.applyLoads(resp.GetFrom(), resp.GetLoads(), now)
 	next := &peerpb.ExchangeRequest{From: t.self}
 	if len(resp.GetDigests()) > 0 || resp.GetDomains() != nil {
 		t.applyDigests(resp.GetDigests(), now)
-		next.Members = t.lacking(resp.GetDigests(), []string{own}, now)
-		if t.behind(resp.GetDigests()) {
-			differing[own] = true
+		next.Members = t.missingEntries(resp.GetDigests(), []string{localDomain}, now)
+		if t.hasNewer(resp.GetDigests()) {
+			differing[localDomain] = true
 		}
 	}
 	for _, d := range resp.GetDomains() {
-		if index := t.indexes()[d.GetDomain()]; d.GetDomain() != own && (index == nil || index.versionHash != d.GetVersionHash()) {
+		if index := t.indexes()[d.GetDomain()]; d.GetDomain() != localDomain && (index == nil || index.versionHash != d.GetVersionHash()) {
 			differing[d.GetDomain()] = true
 		}
 	}
@@ -258,14 +258,14 @@
 func (t *Table) applyDigests(digests []*peerpb.MemberDigest, now time.Time) {
 	for _, d := range digests {
 		if r, ok := t.members[d.GetId()]; ok && d.GetId() != t.self {
-			t.hear(r, d.GetHeartbeat(), d.GetIncarnation(), d.GetConfigRevision(), now)
+			t.applyHeartbeat(r, d.GetHeartbeat(), d.GetIncarnation(), d.GetConfigRevision(), now)
 		}
 	}
 }
 
-// lacking returns the entries of some domains that the sender of the digests has
-// not, or not as new.
-func (t *Table) lacking(digests []*peerpb.MemberDigest, domains []string, now time.Time) []*peerpb.Member {
+// missingEntries returns the entries of the domains that the sender of the digests
+// lacks, or has in an older version.
+func (t *Table) missingEntries(digests []*peerpb.MemberDigest, domains []string, now time.Time) []*peerpb.Member {
 	known := make(map[string]*peerpb.MemberDigest, len(digests))
 	for _, d := range digests {
 		known[d.GetId()] = d
@@ -279,18 +279,19 @@
 		for _, id := range index.ids {
 			r, d := t.members[id], known[id]
 			if d == nil || newer(r.entry.GetIncarnation(), r.entry.GetVersion(), d.GetIncarnation(), d.GetVersion()) {
-				out = append(out, t.outgoing(r, now))
+				out = append(out, t.wireEntry(r, now))
 			}
 		}
 	}
 	return out
 }
 
-// behind tells whether some digest is of an entry that is not known here.
-func (t *Table) behind(digests []*peerpb.MemberDigest) bool {
+// hasNewer reports whether a digest is of an entry that this table lacks, or has in an
+// older version.
+func (t *Table) hasNewer(digests []*peerpb.MemberDigest) bool {
 	for _, d := range digests {
 		r, ok := t.members[d.GetId()]
-		if !ok && t.rumour(d.GetId(), d.GetIncarnation(), d.GetHeartbeat()) {
+		if !ok && t.isStaleGossip(d.GetId(), d.GetIncarnation(), d.GetHeartbeat()) {
 			continue
 		}
 		if !ok || newer(d.GetIncarnation(), d.GetVersion(), r.entry.GetIncarnation(), r.entry.GetVersion()) {
@@ -307,12 +308,12 @@
 	return version > thanVersion
 }
 
-// outgoing is a member's entry as it travels.
-func (t *Table) outgoing(r *record, now time.Time) *peerpb.Member {
-	out := shallow(r.entry)
+// wireEntry returns a member's entry as it is sent to peers.
+func (t *Table) wireEntry(r *record, now time.Time) *peerpb.Member {
+	out := shallowCopy(r.entry)
 	out.Loads = nil
 	out.Heartbeat = r.heartbeat
-	out.HeardAgoMs = max(0, now.Sub(r.heard).Milliseconds())
+	out.HeardAgoMs = max(0, now.Sub(r.lastContact).Milliseconds())
 	return out
 }
 
@@ -330,19 +331,19 @@
 	return out
 }
 
-// hearLoads takes in the load of the sender's domain. Members of the domain that
-// did not speak for themselves lately get the same.
-func (t *Table) hearLoads(from string, loads []*peerpb.ServiceLoad, now time.Time) {
+// applyLoads applies the load report of the sender's domain. It also replaces that of
+// members of the domain whose own last report is older than loadReportMaxAge.
+func (t *Table) applyLoads(from string, loads []*peerpb.ServiceLoad, now time.Time) {
 	sender, ok := t.members[from]
 	if !ok || from == t.self || len(loads) == 0 {
 		return
 	}
-	sender.loadsHeard = now
+	sender.loadsReceivedAt = now
 	for id, r := range t.members {
 		if id == t.self || r.entry.GetDomain() != sender.entry.GetDomain() {
 			continue
 		}
-		if r != sender && now.Sub(r.loadsHeard) < loadFresh {
+		if r != sender && now.Sub(r.loadsReceivedAt) < loadReportMaxAge {
 			continue
 		}
 		r.loads = loads
--- a/coordination/membership/fleet_test.go
+++ b/coordination/membership/fleet_test.go
@@ -12,18 +12,18 @@
 
 const testDomains = 7
 
-// fleet is a fleet of tables that exchange in memory and in virtual time.
+// fleet is a set of tables that exchange messages in memory and in virtual time.
 type fleet struct {
-	now    time.Time
-	rng    *rand.Rand
-	tables map[string]*Table // by peer address
-	order  []string
-	down   map[string]bool // killed or paused
-	cut    func(from, to *peerpb.Member) bool
-	loss   float64
-	bytes  int
+	now      time.Time
+	rng      *rand.Rand
+	tables   map[string]*Table // by peer address
+	order    []string
+	down     map[string]bool // killed or paused
+	cut      func(from, to *peerpb.Member) bool
+	lossRate float64
+	bytes    int
 
-	documents bool // exchanges carry them
+	shareDocuments bool // whether exchanges carry configuration documents
 }
 
 func newFleet(n int, seed uint64) *fleet {
@@ -58,7 +58,7 @@
 	return t
 }
 
-// seedAll gives every table the platform's list of all that are up.
+// seedAll gives every table a platform list of all instances that are up.
 func (f *fleet) seedAll() {
 	var seeds []Seed
 	for _, a := range f.order {
@@ -97,21 +97,21 @@
 	}
 }
 
-// exchange runs one exchange with what the instance adds to it.
+// exchange runs one exchange with the fields that the instance adds to the messages.
 func (f *fleet) exchange(t *Table, to string) {
 	peer := f.tables[to]
-	if peer == nil || f.down[to] || f.cut(t.Self(), peer.Self()) || f.rng.Float64() < f.loss {
+	if peer == nil || f.down[to] || f.cut(t.Self(), peer.Self()) || f.rng.Float64() < f.lossRate {
 		return
 	}
 	req := t.Request(t.ByPeerAddress(to))
 	req.ConfigRevision, req.DocumentsHash, req.Ready, req.ServersHash = 100000, 1<<60, true, 3
 	resp := f.call(peer, req)
 	resp.ConfigRevision, resp.DocumentsHash, resp.Ready = 100000, 1<<60, true
-	f.bytes += 20 // of these
-	if f.rng.Float64() < f.loss {
+	f.bytes += 20 // size of the fields set above
+	if f.rng.Float64() < f.lossRate {
 		return
 	}
-	if f.documents {
+	if f.shareDocuments {
 		f.shareConfig(t, peer)
 	}
 	if next := t.ApplyResponse(resp, f.now); next != nil {
@@ -119,8 +119,8 @@
 	}
 }
 
-// shareConfig does what the documents in an exchange do: the one that is behind
-// gets what the other has.
+// shareConfig stands in for the documents in an exchange: the side with the lower
+// configuration revision gets the other's.
 func (f *fleet) shareConfig(a, b *Table) {
 	revision := max(a.Self().GetConfigRevision(), b.Self().GetConfigRevision())
 	for _, t := range []*Table{a, b} {
@@ -140,7 +140,7 @@
 	return resp
 }
 
-// count returns how many of the tables that are up see what ok asks for.
+// count returns how many of the tables that are up satisfy the condition.
 func (f *fleet) count(ok func(t *Table) bool) int {
 	met := 0
 	for _, a := range f.order {
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -1,8 +1,8 @@
-// Package membership keeps what an instance knows of the other instances. Each
-// instance writes its own entry and raises its version; entries spread by
-// exchanges, and only what the other side lacks travels. Liveness is a counter
-// that every instance raises once a round. The members of a failure domain agree
-// on their order, so that a whole domain's counters travel as two bytes each.
+// Package membership tracks the instances of the fleet by gossip. Each instance
+// writes its own entry and increments its version; entries spread in pairwise
+// exchanges, which carry only what the peer lacks. Liveness is a heartbeat counter
+// that every instance increments once per round. The members of a failure domain
+// agree on their order, so that the counters of a domain take two bytes per member.
 //
 // The package does no I/O: the time and the random source come in with each call.
 package membership
@@ -20,39 +20,40 @@
 )
 
 const (
-	// RoundInterval is how often an instance starts exchanges.
+	// RoundInterval is the interval at which an instance starts exchanges.
 	RoundInterval = time.Second
-	// UnreachableAfter is how long a counter may stand still before its instance
-	// counts as unreachable: three rounds in a row may be lost.
+	// UnreachableAfter is how long a heartbeat counter may stay unchanged before its
+	// instance counts as unreachable: three consecutive rounds may be lost.
 	UnreachableAfter = 4 * time.Second
-	// unreachableAfterRelayed applies where counters come by way of others: in a
-	// fleet that is too large for everybody to exchange with everybody.
+	// unreachableAfterRelayed applies where counters are relayed by other instances:
+	// in a fleet that is too large for a full mesh of exchanges.
 	unreachableAfterRelayed = 8 * time.Second
-	// ForgetAfter is how long an unreachable instance stays known. Regions lose
-	// each other for minutes, and then go on where they were.
+	// ForgetAfter is how long an unreachable instance stays in the table. Regions
+	// can be partitioned for minutes, and their instances then resume with the
+	// entries that they had.
 	ForgetAfter = 15 * time.Minute
-	// forgetUnlisted applies to an unreachable instance that said it leaves, or
-	// that the platform no longer lists.
-	forgetUnlisted = 30 * time.Second
-	// rememberGone is how long a forgotten instance cannot come back by a rumour.
-	rememberGone = 24 * time.Hour
-	// roundSlack is how late a round may be before the instance takes itself to
-	// have been paused.
+	// forgetUnlistedAfter applies to an unreachable instance that announced its
+	// shutdown or that the platform no longer lists.
+	forgetUnlistedAfter = 30 * time.Second
+	// tombstoneTTL is how long stale gossip cannot add a forgotten instance again.
+	tombstoneTTL = 24 * time.Hour
+	// roundSlack is how late a round may start before the instance assumes that its
+	// process was paused.
 	roundSlack = 2 * RoundInterval
 )
 
-// Member is what is known of one instance.
+// Member is the known state of one instance.
 type Member struct {
-	Entry       *peerpb.Member // not to be changed
-	LastContact time.Time      // when its counter last rose here
+	Entry       *peerpb.Member // read-only
+	LastContact time.Time      // when its heartbeat counter last rose in this table
 	Reachable   bool
-	// Loads is the last word on the load of its failure domain, and LoadsHeard when that
-	// came here; zero when none has.
+	// Loads is the last load report of its failure domain, and LoadsReceivedAt the time
+	// that report arrived; zero when there was none.
 	Loads           []*peerpb.ServiceLoad
 	LoadsReceivedAt time.Time
 }
 
-// Leaving tells whether the instance said that it stops.
+// Leaving reports whether the instance announced its shutdown.
 func (m Member) Leaving() bool { return leaving(m.Entry) }
 
 func leaving(m *peerpb.Member) bool { return m.GetState() == peerpb.MemberState_MEMBER_STATE_LEAVING }
@@ -64,74 +65,74 @@
 }
 
 type record struct {
-	entry      *peerpb.Member
-	heartbeat  uint64
-	heard      time.Time
-	loads      []*peerpb.ServiceLoad
-	loadsHeard time.Time
+	entry           *peerpb.Member
+	heartbeat       uint64
+	lastContact     time.Time
+	loads           []*peerpb.ServiceLoad
+	loadsReceivedAt time.Time
 }
 
-// goneRecord remembers a forgotten instance, so that an old rumour does not make
-// it live again.
-type goneRecord struct {
+// tombstone marks a forgotten instance, so that stale gossip does not add it again.
+type tombstone struct {
 	incarnation, heartbeat uint64
 	address                string
-	until                  time.Time
+	expiry                 time.Time
 }
 
 // Table is safe for concurrent use.
 type Table struct {
-	mu       sync.RWMutex
-	self     string
-	members  map[string]*record
-	gone     map[string]goneRecord
-	seeds    []Seed
-	listed   map[string]bool // ids on the platform's list; nil before the first one
-	lastBeat time.Time
-	rounds   uint64
-	relayed  int                     // views of other domains that were handed on
-	index    map[string]*domainIndex // nil after a change of entries
-	order    []*record               // by id; nil after a change of members
-	changes  uint64                  // of entries of others
-	hash     uint64
+	mu           sync.RWMutex
+	self         string
+	members      map[string]*record
+	tombstones   map[string]tombstone
+	seeds        []Seed
+	listed       map[string]bool // ids on the platform's list; nil before the first list
+	lastRound    time.Time
+	rounds       uint64
+	relayedViews int                     // views of other domains that were relayed
+	index        map[string]*domainIndex // nil after a change of entries
+	sorted       []*record               // by id; nil after a change of members
+	changes      uint64                  // count of changes to entries of other instances
+	fleetHash    uint64
 }
 
 // New returns a table that knows only the instance itself.
 func New(self *peerpb.Member, now time.Time) *Table {
 	return &Table{
-		self:     self.GetId(),
-		members:  map[string]*record{self.GetId(): {entry: self, heartbeat: 1, heard: now}},
-		gone:     make(map[string]goneRecord),
-		lastBeat: now,
+		self:       self.GetId(),
+		members:    map[string]*record{self.GetId(): {entry: self, heartbeat: 1, lastContact: now}},
+		tombstones: make(map[string]tombstone),
+		lastRound:  now,
 	}
 }
 
-// UpdateSelf changes the instance's own entry. The version rises only with what
-// travels as an entry: load and configuration revision travel with each exchange.
+// UpdateSelf changes the local instance's entry. The version rises only for fields
+// that are sent as part of the entry: load and configuration revision are sent with
+// each exchange.
 func (t *Table) UpdateSelf(now time.Time, change func(*peerpb.Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.members[t.self]
 	next := proto.CloneOf(r.entry)
 	change(next)
-	if !proto.Equal(static(next), static(r.entry)) {
+	if !proto.Equal(versionedFields(next), versionedFields(r.entry)) {
 		next.Version++
 		t.index = nil
 	}
-	r.entry, r.heard = next, now
+	r.entry, r.lastContact = next, now
 }
 
-// static is the part of an entry that has a version.
-func static(m *peerpb.Member) *peerpb.Member {
-	out := shallow(m)
+// versionedFields returns the part of an entry that its version covers.
+func versionedFields(m *peerpb.Member) *peerpb.Member {
+	out := shallowCopy(m)
 	out.Loads, out.ConfigRevision, out.Heartbeat, out.HeardAgoMs = nil, 0, 0, 0
 	return out
 }
 
-// shallow returns a copy that shares the lists. Entries are handed out and never
-// changed, only replaced, and a copy of the lists each second for each member
-// would be most of the cost of an exchange.
-func shallow(m *peerpb.Member) *peerpb.Member {
+// shallowCopy returns a copy that shares the lists. Entries are handed out and never
+// changed, only replaced, and a copy of the lists per second and member would be
+// most of the cost of an exchange.
+func shallowCopy(m *peerpb.Member) *peerpb.Member {
 	out := &peerpb.Member{}
 	fields := out.ProtoReflect()
 	m.ProtoReflect().Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
@@ -141,8 +142,9 @@
 	return out
 }
 
-// SetSeeds takes in the platform's list. It says whom to try, and which
-// unreachable instances need not be remembered; it never makes a live one dead.
+// SetSeeds replaces the platform's list. The list provides addresses to try, and
+// lets unlisted unreachable instances be forgotten early; it never makes a live
+// instance unreachable.
 func (t *Table) SetSeeds(seeds []Seed) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,54 +162,55 @@
 	}
 }
 
-// StartRound begins a round: it raises the own counter and forgets who has gone.
+// StartRound begins a round: it increments the local heartbeat counter and removes
+// members whose retention has passed.
 //
 // After a pause of this process the silence of the others proves nothing: their
-// counters rose, it just did not look. Without the correction a resumed instance
-// takes all others for dead and refuses what it should forward.
+// counters rose while it did not run. Without the correction a resumed instance
+// counts all others as unreachable and refuses requests that it should forward.
 func (t *Table) StartRound(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if late := now.Sub(t.lastBeat) - roundSlack; late > 0 {
+	if late := now.Sub(t.lastRound) - roundSlack; late > 0 {
 		for _, r := range t.members {
-			r.heard = r.heard.Add(late)
+			r.lastContact = r.lastContact.Add(late)
 		}
 	}
-	t.lastBeat = now
+	t.lastRound = now
 	t.rounds++
-	own := t.members[t.self]
-	own.heartbeat++
-	own.heard = now
+	local := t.members[t.self]
+	local.heartbeat++
+	local.lastContact = now
 	t.sweep(now)
 }
 
 func (t *Table) sweep(now time.Time) {
 	for id, r := range t.members {
-		if id == t.self || now.Sub(r.heard) < t.keep(id, r) {
+		if id == t.self || now.Sub(r.lastContact) < t.retention(id, r) {
 			continue
 		}
-		t.gone[id] = goneRecord{r.entry.GetIncarnation(), r.heartbeat, r.entry.GetPeerAddress(), now.Add(rememberGone)}
+		t.tombstones[id] = tombstone{r.entry.GetIncarnation(), r.heartbeat, r.entry.GetPeerAddress(), now.Add(tombstoneTTL)}
 		delete(t.members, id)
-		t.changed()
+		t.markChanged()
 	}
-	for id, g := range t.gone {
-		if now.After(g.until) {
-			delete(t.gone, id)
+	for id, g := range t.tombstones {
+		if now.After(g.expiry) {
+			delete(t.tombstones, id)
 		}
 	}
 }
 
-func (t *Table) keep(id string, r *record) time.Duration {
+func (t *Table) retention(id string, r *record) time.Duration {
 	if leaving(r.entry) || t.listed != nil && !t.listed[id] {
-		return forgetUnlisted
+		return forgetUnlistedAfter
 	}
 	return ForgetAfter
 }
 
-// observed is the time up to which silence counts: not past the instance's own
-// last round, see Beat.
-func (t *Table) observed(now time.Time) time.Time {
-	if limit := t.lastBeat.Add(roundSlack); now.After(limit) {
+// observationTime returns the time up to which silence counts: at most roundSlack
+// after the local instance's last round, see StartRound.
+func (t *Table) observationTime(now time.Time) time.Time {
+	if limit := t.lastRound.Add(roundSlack); now.After(limit) {
 		return limit
 	}
 	return now
@@ -215,13 +218,13 @@
 
 func (t *Table) reachable(id string, r *record, observed time.Time) bool {
 	limit := UnreachableAfter
-	if len(t.members) > fullFanout {
+	if len(t.members) > maxFullMesh {
 		limit = unreachableAfterRelayed
 	}
-	return id == t.self || observed.Sub(r.heard) < limit
+	return id == t.self || observed.Sub(r.lastContact) < limit
 }
 
-// Merge takes in entries from a peer.
+// Merge applies entries that a peer sent.
 func (t *Table) Merge(entries []*peerpb.Member, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -236,71 +239,73 @@
 	case id == "":
 		return
 	case id == t.self:
-		t.outlive(entry)
+		t.raiseIncarnation(entry)
 		return
 	}
 	r, known := t.members[id]
-	if !known && t.rumour(id, entry.GetIncarnation(), entry.GetHeartbeat()) {
+	if !known && t.isStaleGossip(id, entry.GetIncarnation(), entry.GetHeartbeat()) {
 		return
 	}
 	if known && !supersedes(entry, r.entry) {
-		t.hear(r, entry.GetHeartbeat(), entry.GetIncarnation(), entry.GetConfigRevision(), now)
+		t.applyHeartbeat(r, entry.GetHeartbeat(), entry.GetIncarnation(), entry.GetConfigRevision(), now)
 		return
 	}
 	next := &record{
 		entry: proto.CloneOf(entry), heartbeat: entry.GetHeartbeat(),
-		heard: now.Add(-time.Duration(entry.GetHeardAgoMs()) * time.Millisecond),
+		lastContact: now.Add(-time.Duration(entry.GetHeardAgoMs()) * time.Millisecond),
 	}
 	if known && r.entry.GetIncarnation() == entry.GetIncarnation() {
 		next.heartbeat = max(next.heartbeat, r.heartbeat)
-		next.heard = later(next.heard, r.heard)
+		next.lastContact = later(next.lastContact, r.lastContact)
 		next.entry.ConfigRevision = max(entry.GetConfigRevision(), r.entry.GetConfigRevision())
-		next.loads, next.loadsHeard = r.loads, r.loadsHeard
+		next.loads, next.loadsReceivedAt = r.loads, r.loadsReceivedAt
 	}
 	next.entry.Heartbeat, next.entry.HeardAgoMs = 0, 0
 	t.members[id] = next
-	delete(t.gone, id)
-	t.changed()
+	delete(t.tombstones, id)
+	t.markChanged()
 }
 
-// changed notes that another instance's record was replaced or forgotten.
-func (t *Table) changed() {
-	t.index, t.order = nil, nil
+// markChanged records that another instance's record was replaced or removed.
+func (t *Table) markChanged() {
+	t.index, t.sorted = nil, nil
 	t.changes++
 }
 
-// Changes counts the changes of other instances' entries. Whether they can be reached, and their
-// load, change without.
+// Changes returns the number of changes to other instances' entries. Changes of their
+// reachability and load do not count.
 func (t *Table) Changes() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.changes
 }
 
-// rumour tells whether news is old news of an instance that was forgotten.
-func (t *Table) rumour(id string, incarnation, heartbeat uint64) bool {
-	g, ok := t.gone[id]
+// isStaleGossip reports whether an update about a forgotten instance is no newer than
+// its tombstone.
+func (t *Table) isStaleGossip(id string, incarnation, heartbeat uint64) bool {
+	g, ok := t.tombstones[id]
 	if !ok || incarnation > g.incarnation {
 		return false
 	}
 	return incarnation < g.incarnation || heartbeat <= g.heartbeat
 }
 
-// outlive raises the own incarnation above that of an earlier run. Without it,
-// an instance that starts with a clock behind its predecessor's stays invisible.
-func (t *Table) outlive(entry *peerpb.Member) {
-	own := t.members[t.self]
-	if entry.GetIncarnation() <= own.entry.GetIncarnation() {
+// raiseIncarnation raises the local incarnation above that of an earlier process
+// with the same id. Without it the entry of an instance that starts with a clock
+// behind its predecessor's is ignored by all peers.
+func (t *Table) raiseIncarnation(entry *peerpb.Member) {
+	local := t.members[t.self]
+	if entry.GetIncarnation() <= local.entry.GetIncarnation() {
 		return
 	}
-	own.entry = proto.CloneOf(own.entry)
-	own.entry.Incarnation = entry.GetIncarnation() + 1
-	own.entry.Version++
+	local.entry = proto.CloneOf(local.entry)
+	local.entry.Incarnation = entry.GetIncarnation() + 1
+	local.entry.Version++
 	t.index = nil
 }
 
-// supersedes tells whether an entry is newer than another of the same id. An
-// instance that leaves does not come back in the same incarnation.
+// supersedes reports whether an entry is newer than another with the same id. An
+// instance that is leaving does not become live again in the same incarnation.
 func supersedes(next, current *peerpb.Member) bool {
 	if next.GetIncarnation() != current.GetIncarnation() {
 		return next.GetIncarnation() > current.GetIncarnation()
@@ -311,16 +316,17 @@
 	return next.GetVersion() > current.GetVersion()
 }
 
-// hear takes in a counter and the configuration revision that came with it.
-func (t *Table) hear(r *record, heartbeat, incarnation uint64, revision int64, now time.Time) {
+// applyHeartbeat applies a heartbeat counter and the configuration revision that
+// came with it.
+func (t *Table) applyHeartbeat(r *record, heartbeat, incarnation uint64, revision int64, now time.Time) {
 	if incarnation != r.entry.GetIncarnation() {
 		return
 	}
 	if heartbeat > r.heartbeat {
-		r.heartbeat, r.heard = heartbeat, now
+		r.heartbeat, r.lastContact = heartbeat, now
 	}
 	if revision > r.entry.GetConfigRevision() {
-		r.entry = shallow(r.entry)
+		r.entry = shallowCopy(r.entry)
 		r.entry.ConfigRevision = revision
 	}
 }
@@ -332,35 +338,36 @@
 	return b
 }
 
-// Self returns the instance's own entry.
+// Self returns the local instance's entry.
 func (t *Table) Self() *peerpb.Member {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.members[t.self].entry
 }
 
-// Members returns every known instance, the own one included, ordered by id.
+// Members returns every known instance, the local one included, ordered by id.
 func (t *Table) Members(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	observed := t.observed(now)
-	records := t.ordered()
+	observed := t.observationTime(now)
+	records := t.sortedRecords()
 	out := make([]Member, len(records))
 	for i, r := range records {
 		out[i] = Member{
-			Entry: r.entry, LastContact: r.heard, Reachable: t.reachable(r.entry.GetId(), r, observed), Loads: r.loads, LoadsReceivedAt: r.loadsHeard,
+			Entry: r.entry, LastContact: r.lastContact, Reachable: t.reachable(r.entry.GetId(), r, observed), Loads: r.loads, LoadsReceivedAt: r.loadsReceivedAt,
 		}
 	}
 	return out
 }
 
-// ordered returns the records by id. The caller holds the lock for writing.
-func (t *Table) ordered() []*record {
-	if t.order == nil {
+// sortedRecords returns the records ordered by id. The caller holds the lock for
+// writing.
+func (t *Table) sortedRecords() []*record {
+	if t.sorted == nil {
 		for _, r := range t.members {
-			t.order = append(t.order, r)
+			t.sorted = append(t.sorted, r)
 		}
-		slices.SortFunc(t.order, func(a, b *record) int { return cmp.Compare(a.entry.GetId(), b.entry.GetId()) })
+		slices.SortFunc(t.sorted, func(a, b *record) int { return cmp.Compare(a.entry.GetId(), b.entry.GetId()) })
 	}
-	return t.order
+	return t.sorted
 }
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -8,10 +8,11 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// BenchmarkSizeExchange gives the bytes that a node sends a second, and how many
-// rounds news needs to reach every node: of a node that says it leaves, of one
-// that joins, of one that dies (the time until it counts as unreachable included),
-// of a document that two nodes of each domain have, and that all have it.
+// BenchmarkSizeExchange measures the bytes that an instance sends per second, and the
+// rounds until every instance has an update: that an instance is leaving, that one
+// joins, that one is dead (including the time until it counts as unreachable), that a
+// document held by two instances of each domain has reached all (config), and that all
+// know of each other that they have it (known).
 func BenchmarkSizeExchange(b *testing.B) {
 	for _, n := range []int{8, 40, 120, 360} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -23,7 +24,7 @@
 				f.bytes = 0
 				f.rounds(measured)
 				bytes += f.bytes
-				c, k := f.apply()
+				c, k := f.applyRevision()
 				config, known = config+c, known+k
 				leave += f.announceLeaving()
 				die += f.kill(1)
@@ -41,11 +42,11 @@
 
 const roundLimit = 100
 
-// apply brings a revision to two nodes of each domain and returns the rounds until
-// all have it, and until all know that.
-func (f *fleet) apply() (config, known int) {
+// applyRevision sets a revision on two instances of each domain and returns the rounds
+// until all have it, and until all know that of each other.
+func (f *fleet) applyRevision() (config, known int) {
 	const revision = 200000
-	f.documents = true
+	f.shareDocuments = true
 	for _, a := range f.order[:min(len(f.order), 2*testDomains)] {
 		f.tables[a].setConfig(revision, f.now)
 	}
@@ -83,9 +84,9 @@
 	})
 }
 
-// The budget for control is 5 KB a second for each of 360 nodes, and membership is
-// one of its parts. The benchmark has the figure at that size; this smaller fleet
-// tells when digests with ids travel that nobody needs.
+// Guards against exchanges that send digests with ids when no peer needs them. Control
+// traffic has a budget of 5 KB per second for each of 360 instances, of which membership
+// is a part. BenchmarkSizeExchange measures that size; this test uses a smaller fleet.
 func TestExchangeStaysInBudget(t *testing.T) {
 	const n, measured, budget = 60, 5, 2800
 	f := newFleet(n, 1)
@@ -93,17 +94,17 @@
 	f.bytes = 0
 	f.rounds(measured)
 	if perNode := f.bytes / (n * measured); perNode > budget {
-		t.Errorf("%d bytes a second for each node", perNode)
+		t.Errorf("%d bytes per second and instance", perNode)
 	}
 }
 
-// One exchange in ten is lost for a while. Nobody may be taken for dead: a
-// false alarm sends requests away from a healthy instance.
+// Guards against instances that count as unreachable while one exchange in ten is lost:
+// a false alarm diverts requests from a healthy instance.
 func TestLostExchangesRaiseNoAlarm(t *testing.T) {
 	for _, n := range []int{9, 40} {
 		f := newFleet(n, 7)
 		f.rounds(20)
-		f.loss = 0.1
+		f.lossRate = 0.1
 		alarms := 0
 		for range 80 {
 			f.rounds(1)
@@ -115,63 +116,63 @@
 	}
 }
 
-// A process is paused for a minute and wakes. The others took it for dead and
-// take it back at the next round; it must not take all the others for dead, or
-// it would refuse everything that has to be forwarded.
-func TestPausedInstanceDoesNotAccuseTheOthers(t *testing.T) {
+// Guards against an instance that counts all others as unreachable after its process was
+// paused for a minute: it would refuse every request that has to be forwarded. The others
+// count it as unreachable during the pause, and as reachable again after the next round.
+func TestPausedInstanceKeepsPeersReachable(t *testing.T) {
 	f := newFleet(9, 1)
 	f.rounds(10)
 	paused := f.tables[f.order[0]]
 	f.down[f.order[0]] = true
 	f.rounds(60)
 	if f.count(f.unreachable(paused.self)) != 8 {
-		t.Fatal("a paused instance counts as reachable")
+		t.Fatal("a paused instance still counts as reachable")
 	}
 	delete(f.down, f.order[0])
 	if !f.allReachable(9)(paused) {
-		t.Error("before its first round, the woken instance takes others for dead")
+		t.Error("before its first round, the resumed instance counts others as unreachable")
 	}
 	paused.StartRound(f.now)
 	if !f.allReachable(9)(paused) {
-		t.Error("when its first round begins, the woken instance takes others for dead")
+		t.Error("at the start of its first round, the resumed instance counts others as unreachable")
 	}
 	f.rounds(1)
 	if got := f.count(f.allReachable(9)); got != 9 {
-		t.Errorf("%d of 9 see all after a round", got)
+		t.Errorf("%d of 9 instances see all after one round", got)
 	}
 }
 
-// An instance is killed and removed. Its entry is forgotten, and a peer that was
-// cut off all the time and still knows it must not bring it back as live.
-func TestForgottenInstanceDoesNotComeBack(t *testing.T) {
+// Guards against a killed and forgotten instance that becomes live again when a peer that
+// was cut off in the meantime, and still knows its entry, is reconnected.
+func TestStaleGossipDoesNotReviveForgottenInstance(t *testing.T) {
 	f := newFleet(9, 1)
 	f.rounds(10)
 	dead, cutOff := f.order[0], f.order[1]
 	id := f.tables[dead].self
 	f.down[dead], f.down[cutOff] = true, true
 	f.seedAll()
-	f.rounds(int(forgetUnlisted/RoundInterval) + 10)
+	f.rounds(int(forgetUnlistedAfter/RoundInterval) + 10)
 	known := func(t *Table) bool { _, ok := t.find(id, f.now); return ok }
 	if got := f.count(known); got != 0 {
-		t.Fatalf("%d still know it", got)
+		t.Fatalf("%d instances still know the killed one", got)
 	}
 	delete(f.down, cutOff)
 	for range 20 {
 		f.rounds(1)
 		if got := f.count(func(t *Table) bool { return t != f.tables[cutOff] && known(t) }); got != 0 {
-			t.Fatalf("%d know it again", got)
+			t.Fatalf("%d instances know the killed one again", got)
 		}
 	}
 	f.add(0, 2)
 	delete(f.down, dead)
 	f.rounds(5)
 	if got := f.count(known); got != 9 {
-		t.Errorf("%d of 9 know its next incarnation", got)
+		t.Errorf("%d of 9 instances know its next incarnation", got)
 	}
 }
 
-// Two regions lose each other until each has forgotten the other, and the
-// platform's list is gone too. When the link is back they find each other.
+// Guards against regions that never find each other again after a partition in which each
+// forgot the other's instances, while the platform's list is gone too.
 func TestLongPartitionHealsWithoutThePlatform(t *testing.T) {
 	f := newFleet(8, 1)
 	f.rounds(10)
@@ -181,16 +182,16 @@
 	f.cut = func(from, to *peerpb.Member) bool { return from.GetRegion() != to.GetRegion() }
 	f.rounds(int(ForgetAfter/RoundInterval) + 10)
 	if f.count(f.allReachable(8)) != 0 {
-		t.Fatal("the cut does nothing")
+		t.Fatal("the partition has no effect")
 	}
 	f.cut = func(_, _ *peerpb.Member) bool { return false }
 	if n := f.roundsUntil(roundLimit, f.allReachable(8)); n == roundLimit {
-		t.Errorf("%d of 8 see all after %d rounds", f.count(f.allReachable(8)), n)
+		t.Errorf("%d of 8 instances see all after %d rounds", f.count(f.allReachable(8)), n)
 	}
 }
 
-// The order in which news arrives does not matter: leaving wins in its
-// incarnation, a later incarnation wins over it.
+// Guards against results that depend on the order in which updates arrive: leaving wins
+// within an incarnation, and a later incarnation wins over it.
 func TestLeavingWinsInItsIncarnation(t *testing.T) {
 	now := time.Unix(1, 0)
 	table := New(entry(0, 1), now)
@@ -200,7 +201,7 @@
 	late.Version = 4
 	table.Merge([]*peerpb.Member{leaving, late}, now)
 	if m, _ := table.find(leaving.GetId(), now); !m.Leaving() {
-		t.Error("an instance that leaves counts as live again")
+		t.Error("a leaving instance counts as live again")
 	}
 	table.Merge([]*peerpb.Member{entry(1, 6), leaving}, now)
 	if m, _ := table.find(leaving.GetId(), now); m.Leaving() {
@@ -208,9 +209,9 @@
 	}
 }
 
-// An instance starts on a machine whose clock is behind that of its predecessor
-// with the same id. It hears of the old entry and has to outlive it.
-func TestInstanceOutlivesItsOldEntry(t *testing.T) {
+// Guards against an instance that peers ignore because its machine's clock is behind that
+// of its predecessor with the same id: it has to raise its incarnation above the old one.
+func TestInstanceSupersedesItsOldEntry(t *testing.T) {
 	f := newFleet(9, 100)
 	f.rounds(5)
 	again := New(entry(0, 0), f.now)
@@ -223,13 +224,13 @@
 	again.UpdateSelf(f.now, func(m *peerpb.Member) { m.StoreUnreachable = true })
 	f.rounds(5)
 	if got := f.count(func(t *Table) bool { m, _ := t.find(again.self, f.now); return m.Entry.GetStoreUnreachable() }); got != 9 {
-		t.Errorf("%d of 9 know its present entry", got)
+		t.Errorf("%d of 9 instances know its current entry", got)
 	}
 }
 
-// The platform's list lags: it leaves out a live instance and names one that is
-// dead. Direct contact decides.
-func TestListNeverOverrulesContact(t *testing.T) {
+// Guards against a stale platform list, which omits live instances and names a dead one,
+// taking precedence over direct contact.
+func TestPlatformListNeverOverridesContact(t *testing.T) {
 	f := newFleet(9, 1)
 	f.rounds(10)
 	f.down[f.order[0]] = true
@@ -237,15 +238,15 @@
 	for _, table := range f.tables {
 		table.SetSeeds([]Seed{{ID: dead.GetId(), PeerAddress: dead.GetPeerAddress()}})
 	}
-	f.rounds(int(forgetUnlisted/RoundInterval) + 10)
+	f.rounds(int(forgetUnlistedAfter/RoundInterval) + 10)
 	if got := f.count(f.allReachable(8)); got != 8 {
-		t.Errorf("%d of 8 see the 8 live ones", got)
+		t.Errorf("%d of 8 instances see the 8 live ones", got)
 	}
 }
 
-// A document comes into force on one instance after the other; each has to know
-// of all others which one they have.
-func TestConfigRevisionsTravelWithTheView(t *testing.T) {
+// Guards against instances that do not learn which configuration revision each other
+// instance has, while a document comes into force on one after the other.
+func TestConfigRevisionsSpreadWithTheView(t *testing.T) {
 	f := newFleet(21, 1)
 	f.rounds(10)
 	for _, a := range f.order[:20] {
@@ -261,6 +262,6 @@
 		return behind == 1
 	}
 	if n := f.roundsUntil(roundLimit, ok); n > 10 {
-		t.Errorf("%d rounds", n)
+		t.Errorf("revisions took %d rounds to spread, the limit is 10", n)
 	}
 }
--- a/coordination/membership/size_test.go
+++ b/coordination/membership/size_test.go
@@ -8,7 +8,7 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// BenchmarkSizeMembers is a look at all members, which is made several times a second.
+// BenchmarkSizeMembers measures Members, which is called several times per second.
 func BenchmarkSizeMembers(b *testing.B) {
 	for _, size := range []int{30, 100, 195, 360} {
 		b.Run(fmt.Sprintf("n=%d", size), func(b *testing.B) {
--- a/coordination/membership/targets.go
+++ b/coordination/membership/targets.go
@@ -9,25 +9,28 @@
 )
 
 const (
-	// fullFanout is the largest fleet in which every instance exchanges with all.
-	fullFanout = 16
-	// ownDomainFanout is how many peers of the own domain a round picks in a larger one.
-	ownDomainFanout = 2
-	// otherDomainsEvery is in how many rounds such a fleet's instance exchanges
-	// with one peer of each other domain.
-	otherDomainsEvery = 2
-	// strangerFanout bounds the seeds that a round tries.
-	strangerFanout = 4
-	// lostEvery is how many rounds pass between two tries of a lost instance.
-	lostEvery = 5
+	// maxFullMesh is the size of the largest fleet in which every instance exchanges
+	// with all others.
+	maxFullMesh = 16
+	// localDomainFanout is how many peers of the local domain a round picks in a
+	// larger fleet.
+	localDomainFanout = 2
+	// otherDomainsRounds is the number of rounds in which an instance of a larger
+	// fleet exchanges with one peer of each other domain.
+	otherDomainsRounds = 2
+	// unknownSeedFanout is the maximum number of seeds that a round tries.
+	unknownSeedFanout = 4
+	// lostRetryRounds is the number of rounds between two attempts to contact an
+	// unreachable or forgotten instance.
+	lostRetryRounds = 5
 )
 
-// Targets returns the peer addresses of every known instance and of every seed
-// that is not known yet.
+// Targets returns the peer addresses of every known instance and of every seed that
+// is not known yet.
 func (t *Table) Targets() []string {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	out := t.strangers()
+	out := t.unknownSeeds()
 	for id, r := range t.members {
 		if id != t.self {
 			out = append(out, r.entry.GetPeerAddress())
@@ -37,8 +40,8 @@
 	return slices.Compact(out)
 }
 
-// strangers returns the addresses of seeds that are not known.
-func (t *Table) strangers() []string {
+// unknownSeeds returns the addresses of seeds that are not in the table.
+func (t *Table) unknownSeeds() []string {
 	known := make(map[string]bool, len(t.members))
 	for _, r := range t.members {
 		known[r.entry.GetPeerAddress()] = true
@@ -52,23 +55,23 @@
 	return out
 }
 
-// RoundTargets returns the peer addresses to exchange with in this round: everyone in a
-// small fleet; otherwise a few at random in the own domain and one in each of half
-// of the other domains, and now and then one that was lost, so that both sides of a long
-// partition find each other again without the platform.
+// RoundTargets returns the peer addresses to exchange with in this round: all in a
+// small fleet; otherwise a few at random in the local domain and one in each of half
+// of the other domains. Every few rounds it adds one that is unreachable or forgotten,
+// so that both sides of a long partition find each other again without the platform.
 func (t *Table) RoundTargets(now time.Time, rng *rand.Rand) []string {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	strangers := t.strangers()
+	strangers := t.unknownSeeds()
 	shuffle(strangers, rng)
-	out := strangers[:min(len(strangers), strangerFanout)]
-	live, lost := t.split(now)
+	out := strangers[:min(len(strangers), unknownSeedFanout)]
+	live, lost := t.splitByReachability(now)
 	for n, domain := range slices.Sorted(maps.Keys(live)) {
 		addresses := live[domain]
 		shuffle(addresses, rng)
 		out = append(out, addresses[:min(len(addresses), t.fanout(domain, uint64(n)))]...)
 	}
-	if len(lost) > 0 && (len(t.members) <= fullFanout || t.rounds%lostEvery == 0) {
+	if len(lost) > 0 && (len(t.members) <= maxFullMesh || t.rounds%lostRetryRounds == 0) {
 		out = append(out, lost[rng.IntN(len(lost))])
 	}
 	slices.Sort(out)
@@ -78,20 +81,21 @@
 // fanout returns how many peers of the n-th domain a round picks.
 func (t *Table) fanout(domain string, n uint64) int {
 	switch {
-	case len(t.members) <= fullFanout:
-		return fullFanout
+	case len(t.members) <= maxFullMesh:
+		return maxFullMesh
 	case domain == t.members[t.self].entry.GetDomain():
-		return ownDomainFanout
-	case (t.rounds+n)%otherDomainsEvery == 0:
+		return localDomainFanout
+	case (t.rounds+n)%otherDomainsRounds == 0:
 		return 1
 	}
 	return 0
 }
 
-// split returns the addresses of reachable instances by domain, and of the others.
-func (t *Table) split(now time.Time) (live map[string][]string, lost []string) {
+// splitByReachability returns the addresses of reachable instances by domain, and
+// those of unreachable and forgotten ones.
+func (t *Table) splitByReachability(now time.Time) (live map[string][]string, lost []string) {
 	live = make(map[string][]string)
-	observed := t.observed(now)
+	observed := t.observationTime(now)
 	for id, r := range t.members {
 		switch {
 		case id == t.self:
@@ -101,7 +105,7 @@
 			lost = append(lost, r.entry.GetPeerAddress())
 		}
 	}
-	for _, g := range t.gone {
+	for _, g := range t.tombstones {
 		lost = append(lost, g.address)
 	}
 	slices.SortFunc(lost, cmp.Compare)
@@ -109,6 +113,6 @@
 }
 
 func shuffle(list []string, rng *rand.Rand) {
-	slices.Sort(list) // from a map: the order has to come from rng alone
+	slices.Sort(list) // map order is random: the order has to come from rng alone
 	rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 }
