--- a/coordination/configwatch/configwatch.go
+++ b/coordination/configwatch/configwatch.go
@@ -1,7 +1,7 @@
 // Package configwatch decides which documents are in force. A document is
-// replaced only by a later write, whether that comes from the store or from a
-// peer, so that an old answer, a cut-off peer or a store that was restored from a
-// backup cannot bring an old document back.
+// replaced only by a later write, whether that write comes from the store or from a
+// peer, so that a stale response, a peer that was cut off or a store that was restored
+// from a backup cannot bring an old document back into force.
 //
 // The package does no I/O.
 package configwatch
@@ -15,7 +15,7 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// Target is told what comes into force.
+// Target receives the documents that come into force.
 type Target interface {
 	Put(d *service.Document)
 	Delete(kind service.Kind, name string)
@@ -24,34 +24,33 @@
 
 // DocumentSet holds the documents in force. It is safe for concurrent use.
 type DocumentSet struct {
-	mu        sync.Mutex
-	target    Target
-	revision  int64  // every document up to it is known
-	newest    string // key of the document of the highest rank
-	documents map[string]Document
-	buckets   [bucketCount]uint64 // XOR of the digests of the documents
-	rejected  map[string]string   // key to what is wrong with the document
-	store     string              // what is wrong with the store
+	mu           sync.Mutex
+	target       Target
+	revision     int64  // rank up to which every document is known
+	newestKey    string // key of the document with the highest rank
+	documents    map[string]Document
+	buckets      [bucketCount]uint64 // XOR of the digests of each bucket's documents
+	rejected     map[string]string   // finding by document key
+	storeFinding string              // empty while the store is in order
 }
 
-// New returns an empty log that feeds target.
+// New returns an empty set that passes documents on to target.
 func New(target Target) *DocumentSet {
 	return &DocumentSet{target: target, documents: make(map[string]Document), rejected: make(map[string]string)}
 }
 
-// Batch is what a source knows: every document after one rank up to another.
+// Batch holds a source's documents after one rank and up to another.
 type Batch struct {
 	Documents []Document
 	After     int64
 	UpTo      int64
 }
 
-// Offer takes in a batch and returns how many documents came into force.
+// Offer applies a batch and returns how many documents came into force.
 //
-// The log's own watermark moves only when the batch joins up with it. Symptom
-// without that check: a peer's answer to an earlier incarnation, or a partial
-// list, skips documents for good, because a watch from the watermark never shows
-// them again.
+// The watermark moves only when the batch starts at or below it. Without that check a
+// peer's answer to an earlier incarnation, or a partial list, would skip documents for
+// good, because a watch from the watermark never shows them again.
 func (l *DocumentSet) Offer(b Batch) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +69,7 @@
 func (l *DocumentSet) accept(d Document) bool {
 	current, known := l.documents[d.Key]
 	if known && compare(&current, &d) >= 0 {
-		l.move(current, d)
+		l.updateRevision(current, d)
 		return false
 	}
 	bucket := &l.buckets[bucketOf(d.Key)]
@@ -80,12 +79,12 @@
 	}
 	*bucket ^= d.digest()
 	l.put(d)
-	return l.enforce(d)
+	return l.putInForce(d)
 }
 
-// move takes in a new place in the store of the write that is in force, which is
-// where a write that was lost and written back stands.
-func (l *DocumentSet) move(current, d Document) {
+// updateRevision applies a higher rank of the write that is in force. A write that the
+// store lost and that was written back has such a rank.
+func (l *DocumentSet) updateRevision(current, d Document) {
 	_, withdrawn := d.WithdrawnKeyID()
 	if d.Revision > current.Revision && (d.Nonce == current.Nonce || withdrawn) {
 		current.Revision = d.Revision
@@ -95,18 +94,18 @@
 
 func (l *DocumentSet) put(d Document) {
 	l.documents[d.Key] = d
-	if d.Revision >= l.documents[l.newest].Revision {
-		l.newest = d.Key
+	if d.Revision >= l.documents[l.newestKey].Revision {
+		l.newestKey = d.Key
 	}
 }
 
-func (l *DocumentSet) enforce(d Document) bool {
+func (l *DocumentSet) putInForce(d Document) bool {
 	kind, name, ok := service.SplitKey(d.Key)
 	if !ok || kind == KindGeneration {
 		return false
 	}
-	if kind == KindWithdrawn { // also when the marker was deleted: a withdrawal is for good
-		return l.target.Withdraw(name, writtenAt(d.Nonce))
+	if kind == KindWithdrawn { // even if the marker was deleted: a withdrawal is permanent
+		return l.target.Withdraw(name, nonceTime(d.Nonce))
 	}
 	delete(l.rejected, d.Key)
 	if d.Deleted {
@@ -116,7 +115,7 @@
 	parsed, err := service.Parse(d.Key, d.Value)
 	switch {
 	case err != nil:
-		l.rejected[d.Key] = err.Error() // the last good one stays in force
+		l.rejected[d.Key] = err.Error() // the last valid document stays in force
 		return false
 	case parsed.Key() != d.Key:
 		l.rejected[d.Key] = fmt.Sprintf("%s: holds the document %s", d.Key, parsed.Key())
@@ -126,15 +125,15 @@
 	return true
 }
 
-// Revision is the rank up to which every document is known.
+// Revision returns the rank up to which every document is known.
 func (l *DocumentSet) Revision() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.revision
 }
 
-// Since returns the documents after a rank in order, up to about limit bytes,
-// and whether there are more.
+// Since returns the documents after a rank in order, up to about limit bytes, and
+// reports whether there are more.
 func (l *DocumentSet) Since(after int64, limit int) (Batch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,11 +146,12 @@
 			batch.Documents = append(batch.Documents, d)
 		}
 	}
-	return batch.cut(limit)
+	return batch.truncate(limit)
 }
 
-// cut sorts a batch and shortens it to the limit, between two ranks.
-func (b Batch) cut(limit int) (Batch, bool) {
+// truncate sorts a batch and shortens it to the limit. It never splits documents of the
+// same rank.
+func (b Batch) truncate(limit int) (Batch, bool) {
 	slices.SortFunc(b.Documents, byRank)
 	size := 0
 	for n, d := range b.Documents {
@@ -180,7 +180,8 @@
 	return out
 }
 
-// Rejected returns the keys of documents that this process cannot take.
+// Rejected returns the keys of the documents that this process cannot parse or that
+// are stored under another document's key, ordered.
 func (l *DocumentSet) Rejected() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,7 +193,7 @@
 	return out
 }
 
-// Findings returns what is wrong with documents or with the store.
+// Findings returns what is wrong with documents and with the store.
 func (l *DocumentSet) Findings() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -201,8 +202,8 @@
 		out = append(out, finding)
 	}
 	slices.Sort(out)
-	if l.store != "" {
-		out = append(out, l.store)
+	if l.storeFinding != "" {
+		out = append(out, l.storeFinding)
 	}
 	return out
 }
--- a/coordination/configwatch/configwatch_test.go
+++ b/coordination/configwatch/configwatch_test.go
@@ -19,83 +19,87 @@
 
 func all(upTo int64, documents ...Document) Batch { return Batch{Documents: documents, UpTo: upTo} }
 
-// Guards against changes that are skipped for good when a late answer begins after what is known.
-func TestBatchThatDoesNotJoinMovesNoWatermark(t *testing.T) {
-	log := New(catalog.New())
-	log.Offer(Batch{After: 5, UpTo: 9, Documents: []Document{account("b", 1, 9)}})
-	if log.Revision() != 0 {
-		t.Errorf("revision %d", log.Revision())
-	}
-	log.Offer(all(5, account("a", 1, 5)))
-	log.Offer(Batch{After: 5, UpTo: 9})
-	if log.Revision() != 9 {
-		t.Errorf("revision %d", log.Revision())
+// Guards against changes that are skipped for good when a late answer starts above the
+// watermark.
+func TestBatchWithGapKeepsWatermark(t *testing.T) {
+	set := New(catalog.New())
+	set.Offer(Batch{After: 5, UpTo: 9, Documents: []Document{account("b", 1, 9)}})
+	if set.Revision() != 0 {
+		t.Errorf("revision %d", set.Revision())
+	}
+	set.Offer(all(5, account("a", 1, 5)))
+	set.Offer(Batch{After: 5, UpTo: 9})
+	if set.Revision() != 9 {
+		t.Errorf("revision %d", set.Revision())
 	}
 }
 
-// Guards against a document of a newer version that takes the last good one out of force.
+// Guards against a document of a newer schema that takes the last valid one out of force.
 func TestUnreadableDocumentKeepsTheLastGoodOne(t *testing.T) {
 	c := catalog.New()
-	log := New(c)
-	log.Offer(all(1, account("a", 7, 1)))
+	set := New(c)
+	set.Offer(all(1, account("a", 7, 1)))
 	bad := account("a", 0, 2)
 	bad.Value = []byte("kind: account\nname: a\nnew_field: 1\n")
-	log.Offer(all(2, bad))
+	set.Offer(all(2, bad))
 	if got := c.Account("a").Rate; got != 7 {
 		t.Errorf("rate %v", got)
 	}
-	if len(log.Findings()) != 1 || !slices.Equal(log.Rejected(), []string{bad.Key}) {
-		t.Errorf("findings %v, rejected %v", log.Findings(), log.Rejected())
+	if len(set.Findings()) != 1 || !slices.Equal(set.Rejected(), []string{bad.Key}) {
+		t.Errorf("findings %v, rejected %v", set.Findings(), set.Rejected())
 	}
-	if batch, _ := log.Since(1, 1<<20); len(batch.Documents) != 1 {
-		t.Error("the document is not handed on")
+	if batch, _ := set.Since(1, 1<<20); len(batch.Documents) != 1 {
+		t.Error("the document is not sent to peers")
 	}
-	log.Offer(all(3, account("a", 8, 3)))
-	if c.Account("a").Rate != 8 || len(log.Rejected()) != 0 {
+	set.Offer(all(3, account("a", 8, 3)))
+	if c.Account("a").Rate != 8 || len(set.Rejected()) != 0 {
 		t.Error("the repaired document is not in force")
 	}
 }
 
-// Guards against a document that replaces another team's by standing under its key.
+// Guards against a document that replaces another team's because it is stored under that
+// document's key.
 func TestDocumentUnderAnothersKeyIsRejected(t *testing.T) {
 	c := catalog.New()
-	log := New(c)
+	set := New(c)
 	d := account("b", 1, 1)
 	d.Key = service.StoreKey(service.KindAccount, "a")
-	log.Offer(all(1, d))
-	if c.Account("b") != nil || len(log.Findings()) != 1 {
-		t.Errorf("findings %v", log.Findings())
+	set.Offer(all(1, d))
+	if c.Account("b") != nil || len(set.Findings()) != 1 {
+		t.Errorf("findings %v", set.Findings())
 	}
 }
 
-// Guards against a withdrawn key that works again when its marker or its account changes.
-func TestWithdrawalIsForGood(t *testing.T) {
+// Guards against a withdrawn key that is accepted again when its marker or its account
+// changes.
+func TestWithdrawalIsPermanent(t *testing.T) {
 	c := catalog.New()
-	log := New(c)
+	set := New(c)
 	presented, key := catalog.NewKey("k-1")
 	issued := account("a", 1, 1)
 	issued.Value = fmt.Appendf(issued.Value, "keys:\n  - {id: %s, sha256: %s}\n", key.ID, key.SHA256)
-	log.Offer(all(1, issued))
-	d := log.Withdraw("k-1", "")
+	set.Offer(all(1, issued))
+	d := set.Withdraw("k-1", "")
 	if _, _, state := c.CheckKey(presented); state != catalog.KeyWithdrawn {
 		t.Fatalf("state %v", state)
 	}
-	if len(log.Pending()) != 1 {
-		t.Error("nothing to write to the store")
+	if len(set.Pending()) != 1 {
+		t.Error("the withdrawal is not pending")
 	}
 	issued.Revision, issued.Nonce = 2, "z"
-	log.Offer(all(2, issued))
+	set.Offer(all(2, issued))
 	d.Revision, d.Deleted = 3, true
-	log.Offer(all(3, d))
+	set.Offer(all(3, d))
 	if _, _, state := c.CheckKey(presented); state != catalog.KeyWithdrawn {
 		t.Errorf("state %v", state)
 	}
-	if len(log.Pending()) != 0 {
-		t.Error("the withdrawal is in the store and still pending")
+	if len(set.Pending()) != 0 {
+		t.Error("the withdrawal is stored and still pending")
 	}
 }
 
-// Guards against peers that exchange the same withdrawal for ever.
+// Guards against peers that exchange the same withdrawal again and again, because their
+// hashes of it differ.
 func TestHashOfAWithdrawalIsThatOfItsKey(t *testing.T) {
 	a, b := New(catalog.New()), New(catalog.New())
 	d := a.Withdraw("k-1", nonce1)
@@ -112,7 +116,7 @@
 	nonce2 = "00000000-0002-7000-8000-000000000000"
 )
 
-// Guards against documents that are skipped when a peer dies between two pages.
+// Guards against documents that are skipped when a peer fails between two pages.
 func TestPagesEndAtTheirWatermark(t *testing.T) {
 	full, fresh := New(catalog.New()), New(catalog.New())
 	var documents []Document
@@ -149,12 +153,12 @@
 		}
 	}
 	if _, err := ParseGenerations(1, []byte("x\n")); err == nil {
-		t.Error("a marker that is no number was taken")
+		t.Error("a marker that is not a number was accepted")
 	}
 }
 
-// Guards against a failure domain whose watchers have all lost the store.
-func TestWatchersMakeRoom(t *testing.T) {
+// Guards against a failure domain in which all watchers have lost the store.
+func TestFailingWatchersAreReplaced(t *testing.T) {
 	candidates := make([]Candidate, 5)
 	for n := range candidates {
 		candidates[n].ID = fmt.Sprintf("entry-%d", n)
@@ -176,7 +180,7 @@
 	}
 	for _, id := range watching() {
 		if slices.Contains(first, id) {
-			t.Errorf("%s watches a store that it does not reach", id)
+			t.Errorf("%s watches a store that it cannot reach", id)
 		}
 	}
 	for n := range candidates {
@@ -187,7 +191,8 @@
 	}
 }
 
-// Guards against a region, or a failure domain, that hears of changes from one instance that lost the store.
+// Guards against a region, or a failure domain, whose only source of updates is one
+// instance that has lost the store.
 func TestRegionWatchers(t *testing.T) {
 	domain := func(name string, count int) []Candidate {
 		var out []Candidate
@@ -209,11 +214,12 @@
 		several["a"][i].StoreFailing = several["a"][i].ID == before["a"][0]
 	}
 	if after := RegionWatchers(several); after["a"][0] == before["a"][0] {
-		t.Errorf("%s goes on watching a store that it does not reach", before["a"][0])
+		t.Errorf("%s still watches a store that it cannot reach", before["a"][0])
 	}
 }
 
-// Guards against a large configuration that is handed to a failure domain over its narrowest link.
+// Guards against a large configuration that is distributed to a failure domain over its
+// narrowest link.
 func TestWatchersHaveTheWidestLinks(t *testing.T) {
 	var candidates []Candidate
 	for i := range 9 {
@@ -228,6 +234,6 @@
 		candidates[i].StoreFailing = candidates[i].LinkMbps > 10
 	}
 	if got := Watchers(candidates, 1); !strings.HasPrefix(got[0], "narrow") {
-		t.Errorf("watcher %v does not reach the store", got)
+		t.Errorf("watcher %v cannot reach the store", got)
 	}
 }
--- a/coordination/configwatch/document.go
+++ b/coordination/configwatch/document.go
@@ -17,10 +17,10 @@
 // Document is a stored document.
 type Document struct {
 	Key      string
-	Revision int64 // rank of its place in the store; 0 for a withdrawal that is not in the store yet
+	Revision int64 // rank of the write in the store; 0 for a withdrawal that is not stored yet
 	Value    []byte
 	Deleted  bool
-	Nonce    string // of the write, a UUIDv7
+	Nonce    string // of the write; a UUIDv7
 }
 
 // WithdrawnKeyID returns the id of the key that the document withdraws.
@@ -28,16 +28,17 @@
 	return strings.CutPrefix(d.Key, service.StoreKey(KindWithdrawn, ""))
 }
 
-// compare orders the writes of one document by their nonces, each of which comes
-// after the one that it replaced. Ranks would not do: a store that was restored
-// and is written to before an instance notices gives a later write a lower rank.
-// They order only writes of other programs, which have no nonce.
+// compare orders the writes of one document by their nonces, each of which is above
+// the nonce of the write that it replaced. Ranks are no substitute: a store that was
+// restored, and is written to before an instance notices, gives a later write a lower
+// rank. Ranks order only writes without a nonce, which other programs make.
 func compare(a, b *Document) int {
 	return cmp.Or(cmp.Compare(a.Nonce, b.Nonce), cmp.Compare(a.Revision, b.Revision))
 }
 
-// writtenAt returns when a nonce was made, in milliseconds since 1970.
-func writtenAt(nonce string) int64 {
+// nonceTime returns when a nonce was created, in milliseconds since 1970; 0 if it is
+// not a UUIDv7.
+func nonceTime(nonce string) int64 {
 	id, err := uuid.Parse(nonce)
 	if err != nil || id.Version() != 7 {
 		return 0
@@ -50,8 +51,8 @@
 
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % bucketCount) }
 
-// digest is what the document adds to its bucket's hash. A withdrawal counts by
-// its key alone: it is the same before and after the store has it.
+// digest returns the document's contribution to its bucket's hash. A withdrawal
+// contributes its key alone, so that its digest does not change when it is stored.
 func (d *Document) digest() uint64 {
 	_, withdrawn := d.WithdrawnKeyID()
 	switch {
--- a/coordination/configwatch/repair.go
+++ b/coordination/configwatch/repair.go
@@ -6,7 +6,8 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// Hash names the set of documents. Two instances with the same hash know the same.
+// Hash returns the hash of the set. Two instances with the same hash hold the same
+// documents.
 func (l *DocumentSet) Hash() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -17,16 +18,16 @@
 	return all
 }
 
-// Buckets returns the hash of each part of the documents.
+// Buckets returns the hash of each bucket of documents.
 func (l *DocumentSet) Buckets() []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.buckets[:])
 }
 
-// Differing returns the documents in the parts whose hash is another one, for a
-// peer that compares its own, up to about limit bytes. The batch moves no
-// watermark: the peer asks again as long as the hashes differ.
+// Differing returns the documents of the buckets whose hash differs from the peer's, up
+// to about limit bytes. The batch moves no watermark: the peer asks again as long as the
+// hashes differ.
 func (l *DocumentSet) Differing(buckets []uint64, limit int) Batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,12 +40,12 @@
 			batch.Documents = append(batch.Documents, d)
 		}
 	}
-	batch, _ = batch.cut(limit)
+	batch, _ = batch.truncate(limit)
 	batch.UpTo = 0
 	return batch
 }
 
-// Withdraw notes a withdrawal that the store does not have yet.
+// Withdraw records a withdrawal that is not stored yet, and returns its document.
 func (l *DocumentSet) Withdraw(keyID, nonce string) Document {
 	d := Document{Key: service.StoreKey(KindWithdrawn, keyID), Nonce: nonce}
 	l.mu.Lock()
@@ -56,7 +57,7 @@
 	return d
 }
 
-// Pending returns the withdrawals that the store is not known to have.
+// Pending returns the withdrawals that are not known to be stored.
 func (l *DocumentSet) Pending() []Document {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,54 +70,55 @@
 	return out
 }
 
-// Newest returns the documents that a store has to hold if it has lost nothing:
-// the one of the highest rank and, when that one was deleted, also the highest
-// that was not, because a deletion leaves nothing to be read.
+// Newest returns the documents that a store holds unless it has lost writes: the one
+// with the highest rank and, if that one was deleted, also the highest one that was
+// not, because a deletion leaves nothing to read.
 func (l *DocumentSet) Newest() []Document {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	newest, ok := l.documents[l.newest]
+	newest, ok := l.documents[l.newestKey]
 	if !ok || newest.Revision == 0 {
 		return nil
 	}
 	if !newest.Deleted {
 		return []Document{newest}
 	}
-	var standing Document
+	var existing Document
 	for _, d := range l.documents {
-		if !d.Deleted && d.Revision > standing.Revision {
-			standing = d
+		if !d.Deleted && d.Revision > existing.Revision {
+			existing = d
 		}
 	}
-	if standing.Key == "" {
+	if existing.Key == "" {
 		return []Document{newest}
 	}
-	return []Document{standing, newest}
+	return []Document{existing, newest}
 }
 
-// MissingFromStore tells whether the store lacks a document that is in force. stands is what
-// it holds, nil for nothing.
-func MissingFromStore(d, stands *Document) bool {
-	if stands == nil {
+// MissingFromStore reports whether the store lacks a document that is in force. stored
+// is the store's version of it, or nil.
+func MissingFromStore(d, stored *Document) bool {
+	if stored == nil {
 		return !d.Deleted
 	}
-	return compare(stands, d) < 0
+	return compare(stored, d) < 0
 }
 
-// StoreRestored tells whether what a store of the generation holds in place of a
-// document shows that it came back older: the document is lost, or a later write
-// has a lower rank. In a newer generation than the document's, that is known.
-func StoreRestored(d, stands *Document, g Generations) bool {
-	if MissingFromStore(d, stands) {
+// StoreRestored reports whether the store's version of a document, or nil, shows that the
+// store was restored to an older state: the document is missing, or a later write has a
+// lower rank. A lower rank is no sign if the store's generation is above the document's,
+// because that restore is already known.
+func StoreRestored(d, stored *Document, g Generations) bool {
+	if MissingFromStore(d, stored) {
 		return true
 	}
 	generation, _ := SplitRank(d.Revision)
-	return stands != nil && stands.Revision < d.Revision && generation >= g.Current
+	return stored != nil && stored.Revision < d.Revision && generation >= g.Current
 }
 
 // SetStoreFinding sets what is wrong with the store; empty when nothing is.
 func (l *DocumentSet) SetStoreFinding(finding string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.store = finding
+	l.storeFinding = finding
 }
--- a/coordination/configwatch/watchers.go
+++ b/coordination/configwatch/watchers.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WatchersPerDomain is how many instances of a failure domain watch the store.
-// The others learn from them, so that watches grow with the domains and not with
-// the fleet.
+// WatchersPerDomain is how many instances of a failure domain watch the store. The
+// others get updates from them, so that the number of watches grows with the domains
+// and not with the instances.
 const WatchersPerDomain = 2
 
-// Candidate is a live instance of the own failure domain.
+// Candidate is a live instance that may be chosen as a watcher.
 type Candidate struct {
 	ID           string
-	StoreFailing bool // its last call of the store failed
-	LinkMbps     int  // rate of its machine's link; 0 when not known
+	StoreFailing bool // its last call to the store failed
+	LinkMbps     int  // rate of its machine's network link; 0 when not known
 }
 
-// Watchers returns the ids of those that are to watch the store, count at most. Every instance with
-// the same view comes to the same watchers. One that does not reach the store makes
-// room for another; when none reaches it, the first ones go on trying. Wide links go first: a
-// watcher hands on to all others what it reads.
+// Watchers returns the ids of the instances that have to watch the store, at most count.
+// Every instance with the same view computes the same watchers. An instance that cannot
+// reach the store is replaced by another one; if none reaches it, the first ones keep
+// trying. Wide links come first, because a watcher sends what it reads to all others.
 func Watchers(candidates []Candidate, count int) []string {
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(a, b Candidate) int {
@@ -41,10 +41,10 @@
 	return out
 }
 
-// RegionWatchers returns the watchers of a region by failure domain: one in each, so that a
-// domain that is cut off still learns, and two where the region has one domain only, so
-// that none of its instances depends on a single one. An instance whose watcher fails
-// follows that of another domain.
+// RegionWatchers returns the watchers of a region by failure domain: one in each, so
+// that a domain that is cut off still gets updates, and two where the region has only
+// one domain, so that its instances do not depend on a single one. An instance whose
+// watcher fails follows the watcher of another domain.
 func RegionWatchers(byDomain map[string][]Candidate) map[string][]string {
 	count := 1
 	if len(byDomain) == 1 {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// IsWatcher tells whether the instance with the id is to watch the store.
+// IsWatcher reports whether the instance with the id has to watch the store.
 func IsWatcher(id string, candidates []Candidate) bool {
 	return slices.Contains(Watchers(candidates, WatchersPerDomain), id)
 }
