--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -7,9 +7,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// Two instances see the same server die, a third sees another die. All merge
-// what they know: the fingerprint has two crashes, not three, and is refused
-// everywhere until one of them runs out.
+// Guards against a crash that counts twice because two instances saw it. Two crashes of
+// different servers quarantine the fingerprint on every instance until one of them expires.
 func TestCrashesAreCountedOnce(t *testing.T) {
 	a, b, c := New(), New(), New()
 	a.RecordCrash("f", "s1", "boot", start)
@@ -29,13 +28,12 @@
 		t.Errorf("refused %t until %s, want %s", refused, until, want)
 	}
 	if _, still := c.Quarantined("f", until); still || !c.Suspected("f", until) {
-		t.Error("one of two crashes ran out, and the fingerprint is not a mere suspect")
+		t.Error("one of two crashes has expired, and the fingerprint is not just a suspect")
 	}
 }
 
-// No answer comes from the server after a connection broke. Until its next report
-// the crash is presumed; the same boot id then clears the request, another one
-// confirms the crash.
+// Guards against presumed crashes that the server's next report does not settle: the same
+// boot id clears the request, and another one confirms the crash.
 func TestNextReportDecides(t *testing.T) {
 	for _, c := range []struct {
 		boot string
@@ -44,11 +42,11 @@
 		l := New()
 		l.PresumeCrash("f", "s1", "boot", start)
 		if !l.Suspected("f", start) {
-			t.Error("a presumed crash is not held against the request")
+			t.Error("a presumed crash does not count against the request")
 		}
 		l.RecordBootID("s1", "boot", start.Add(-time.Millisecond), start.Add(time.Millisecond))
 		if !l.Suspected("f", start.Add(time.Millisecond)) {
-			t.Error("a report asked for before the crash clears the request")
+			t.Error("a report requested before the crash clears the request")
 		}
 		l.RecordBootID("s1", c.boot, start.Add(time.Second), start.Add(time.Second))
 		if got := l.Suspected("f", start.Add(time.Minute)); got != c.want {
@@ -57,17 +55,18 @@
 	}
 	l := New()
 	l.PresumeCrash("f", "s1", "boot", start)
-	if l.Suspected("f", start.Add(presumeFor)) {
-		t.Error("the presumption about a server that is cut off does not run out")
+	if l.Suspected("f", start.Add(presumptionTTL)) {
+		t.Error("the presumption about a server that is cut off does not expire")
 	}
 }
 
-// Suspects run one to a server, and one copy of each at a time.
-func TestSuspectsRunApart(t *testing.T) {
+// Guards against two suspects, or two copies of one, that run at the same time and are
+// both blamed for a crash.
+func TestSuspectsAreIsolated(t *testing.T) {
 	a := NewIsolation()
 	first, ok := a.Begin("f", "s1", true, false)
 	if !ok {
-		t.Fatal("the first suspect was turned away")
+		t.Fatal("the first suspect was rejected")
 	}
 	if _, ok := a.Begin("g", "s1", true, false); ok {
 		t.Error("two suspects on one server")
@@ -76,13 +75,13 @@
 		t.Error("two copies of a suspect")
 	}
 	if _, ok := a.Begin("h", "s1", false, false); !ok {
-		t.Error("a request that is not suspected was turned away")
+		t.Error("a request that is not suspected was rejected")
 	}
 	if _, ok := a.Begin("h", "s2", false, false); ok {
 		t.Error("two copies of one request went to two servers")
 	}
 	if _, ok := a.Begin("h", "s2", false, true); !ok {
-		t.Error("a copy was turned away although the other's server cannot take it")
+		t.Error("a copy was rejected although the other's server cannot take it")
 	}
 	busy, alone, changed := a.Busy("g")
 	if !busy["s1"] || !alone {
