--- a/coordination/once/claim.go
+++ b/coordination/once/claim.go
@@ -12,16 +12,16 @@
 	"github.com/basilroute/basilroute/protocol/refusal"
 )
 
-// Claim is what stands in the store under an idempotency key.
+// Claim is the record that is stored under an idempotency key.
 type Claim struct {
-	Hash      string `json:"hash"`  // of what the caller asked for
-	Nonce     string `json:"nonce"` // of one attempt to claim
+	Hash      string `json:"hash"`  // of the caller's request
+	Nonce     string `json:"nonce"` // of one claim attempt
 	Instance  string `json:"instance"`
 	RequestID string `json:"request_id"`
 	AtUnixMs  int64  `json:"at_unix_ms"`
 }
 
-// Hash returns the hash of a request. Each part counts with its length, so that
+// Hash returns the hash of a request. The length of each part is hashed too, so that
 // no two requests share the hashed bytes.
 func Hash(service, operation string, body []byte) string {
 	sum := sha256.New()
@@ -34,7 +34,7 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// Encode returns the claim as it is stored.
+// Encode returns the stored form of the claim.
 func (c *Claim) Encode() []byte {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -46,15 +46,15 @@
 // Decode parses a stored claim.
 func Decode(data []byte) (Claim, error) {
 	var c Claim
-	return c, errors.Wrap(json.Unmarshal(data, &c), "claim")
+	return c, errors.Wrap(json.Unmarshal(data, &c), "decode claim")
 }
 
-// HasNonce tells whether a stored claim is the one that an attempt made. Only that
-// attempt may retract it.
+// HasNonce reports whether a stored claim was made by the attempt with the nonce. Only
+// that attempt may retract it.
 func (c *Claim) HasNonce(nonce string) bool { return c.Nonce == nonce }
 
-// DuplicateRefusal returns what a second comer is told who finds a claim. run is what
-// this instance remembers of it.
+// DuplicateRefusal returns the refusal of a request whose key already has a claim. run
+// is the run state that this instance remembers for that claim.
 func DuplicateRefusal(found Claim, hash string, run refusal.Run) *refusal.Refusal {
 	if found.Hash != hash {
 		return refusal.New(refusal.CodeInvalid, "the Idempotency-Key was used for another request")
--- a/coordination/once/key.go
+++ b/coordination/once/key.go
@@ -1,13 +1,13 @@
-// Package once decides about operations that may run at most once. A caller
-// names such an operation by an idempotency key; before it is dispatched, a
-// claim is created under that key in the platform's store by compare-and-swap.
-// Whoever finds a claim of another does not dispatch.
+// Package once runs operations at most once. A caller identifies such an operation by
+// an idempotency key; before it is dispatched, a claim is created under that key in the
+// platform's store by compare-and-swap. An instance that finds an existing claim does
+// not dispatch.
 //
-// A claim is no lease: it is not renewed, and a paused or dead claimant harms
-// nothing, because nobody takes a claim over. It ends by itself once its key is
-// too old to be accepted by any instance.
+// A claim is not a lease: it is not renewed, and a paused or dead claimant does no
+// harm, because no other instance takes a claim over. It expires once its key is too
+// old to be accepted by any instance.
 //
-// The package does no I/O; the time is handed in.
+// The package does no I/O; callers pass the time.
 package once
 
 import (
@@ -19,18 +19,18 @@
 )
 
 const (
-	// MaxKeyAge is how old an idempotency key may be.
+	// MaxKeyAge is the maximum age of an idempotency key.
 	MaxKeyAge = time.Hour
 	// MaxAhead is how far a caller's clock may be ahead of an instance's.
 	MaxAhead = time.Minute
 	// MaxSkew is how far apart the clocks of two instances may be.
 	MaxSkew = time.Minute
-	// LeaseReusePeriod is how long one store lease takes new claims, so that a claim
-	// costs one write and not two.
+	// LeaseReusePeriod is how long new claims are bound to one store lease, so that a
+	// claim costs one write and not two.
 	LeaseReusePeriod = 10 * time.Minute
-	// LeaseTTL ends a claim after its key has become too old everywhere: the
-	// lease takes claims for LeaseUse, a key is at most MaxAhead younger than
-	// its claim, and another instance's clock may be MaxSkew behind.
+	// LeaseTTL lets a claim expire only after every instance rejects its key as too
+	// old: the lease takes claims for LeaseReusePeriod, a key is at most MaxAhead
+	// younger than its claim, and another instance's clock may be MaxSkew behind.
 	LeaseTTL = LeaseReusePeriod + MaxAhead + MaxKeyAge + MaxSkew
 )
 
@@ -39,14 +39,15 @@
 	keyPrefix  = "once/"
 )
 
-// Key is a checked idempotency key.
+// Key is a valid idempotency key.
 type Key struct {
 	id uuid.UUID
 }
 
-// ParseKey checks an idempotency key: a UUIDv7, because its age is known. A key
-// that is too old may have run while its claim stood, so its run state is
-// unknown; one that no instance accepts has not run.
+// ParseKey checks an idempotency key. It has to be a UUIDv7, whose age is known. The
+// operation of a key that is too old may have run while its claim was stored, so its run
+// state is unknown; so is that of a key from the future. A malformed key is accepted by no
+// instance, so its operation has not run.
 func ParseKey(text string, now time.Time) (Key, *refusal.Refusal) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != keyVersion {
@@ -62,7 +63,7 @@
 	return Key{id}, nil
 }
 
-// created returns the time that a UUIDv7 carries, in milliseconds.
+// created returns the creation time in a UUIDv7, which is in milliseconds.
 func created(id uuid.UUID) time.Time {
 	var ms int64
 	for _, b := range id[:6] {
@@ -71,7 +72,8 @@
 	return time.UnixMilli(ms)
 }
 
-// StoreKey returns where the claim stands. Keys of different accounts never meet.
+// StoreKey returns the store key of the claim. It contains the account, so that keys of
+// different accounts never collide.
 func (k Key) StoreKey(account string) string {
 	return keyPrefix + account + "/" + k.id.String()
 }
--- a/coordination/once/outcomes.go
+++ b/coordination/once/outcomes.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	outcomeShards   = 16
-	outcomesInShard = 512
+	outcomeShards    = 16
+	outcomesPerShard = 512
 )
 
-// Outcomes remembers how the newest claims of this instance ended, so that a
-// second comer here is told more than that a claim stands. It is bounded and
-// holds nothing that safety rests on.
+// Outcomes caches the run states of this instance's latest claims, so that the refusal of
+// a duplicate request on this instance can include more than the existence of the claim.
+// It is bounded, and safety does not depend on it.
 type Outcomes struct {
 	shards [outcomeShards]outcomeShard
 }
@@ -27,7 +27,7 @@
 	next  int
 }
 
-// NewOutcomes returns an empty memory.
+// NewOutcomes returns an empty cache.
 func NewOutcomes() *Outcomes {
 	o := &Outcomes{}
 	for i := range o.shards {
@@ -40,7 +40,7 @@
 	return &o.shards[xxhash.Sum64String(nonce)%outcomeShards]
 }
 
-// Set remembers the run state of the claim with the nonce.
+// Set stores the run state of the claim with the nonce.
 func (o *Outcomes) Set(nonce string, run refusal.Run) {
 	s := o.shard(nonce)
 	s.mu.Lock()
@@ -51,19 +51,18 @@
 	s.runs[nonce] = run
 }
 
-// evict makes room by the oldest claim.
+// evict makes room for the nonce by removing the oldest claim of a full shard.
 func (s *outcomeShard) evict(nonce string) {
-	if len(s.order) < outcomesInShard {
+	if len(s.order) < outcomesPerShard {
 		s.order = append(s.order, nonce)
 		return
 	}
 	delete(s.runs, s.order[s.next])
 	s.order[s.next] = nonce
-	s.next = (s.next + 1) % outcomesInShard
+	s.next = (s.next + 1) % outcomesPerShard
 }
 
-// Run returns the run state of the claim with the nonce; unknown when it is not
-// remembered.
+// Run returns the run state of the claim with the nonce; unknown when it is not cached.
 func (o *Outcomes) Run(nonce string) refusal.Run {
 	s := o.shard(nonce)
 	s.mu.Lock()
