--- a/coordination/orders/orders_test.go
+++ b/coordination/orders/orders_test.go
@@ -9,7 +9,7 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// sent is an order on its way to the engine.
+// sent is an order in flight to the engine.
 type sent struct {
 	order  Order
 	at     time.Time
@@ -23,33 +23,33 @@
 	paused bool
 }
 
-// simulation is one engine, two instances that want to order it, and the store's
-// lease, which one of them may hold.
+// simulation has one engine, two instances that send it orders, and the store's lease,
+// which at most one of them holds.
 type simulation struct {
-	now      time.Time
-	engine   State
-	ignores  bool // the engine obeys old fencing numbers
-	owner    int  // of the store's lease; -1 for nobody
-	ends     time.Time
-	epoch    int64
-	holders  [2]holder
-	inFlight []sent
-	service  *service.Service
+	now            time.Time
+	engine         State
+	ignoresFencing bool // the engine obeys old fencing numbers
+	owner          int  // instance that holds the store's lease; -1 for none
+	leaseExpiry    time.Time
+	epoch          int64
+	holders        [2]holder
+	inFlight       []sent
+	service        *service.Service
 }
 
 func (s *simulation) step(n int) {
 	h := &s.holders[n]
-	if s.owner >= 0 && !s.now.Before(s.ends) {
+	if s.owner >= 0 && !s.now.Before(s.leaseExpiry) {
 		s.owner = -1
 	}
 	switch {
 	case h.paused:
 		return
 	case s.owner == n:
-		s.ends, h.lease = s.now.Add(LeaseTTL), NewLease(h.lease.Epoch, s.now)
+		s.leaseExpiry, h.lease = s.now.Add(LeaseTTL), NewLease(h.lease.Epoch, s.now)
 	case s.owner < 0:
 		s.epoch++
-		s.owner, s.ends, h.lease = n, s.now.Add(LeaseTTL), NewLease(s.epoch, s.now)
+		s.owner, s.leaseExpiry, h.lease = n, s.now.Add(LeaseTTL), NewLease(s.epoch, s.now)
 	}
 	if order, ok := Next(s.service, "e", s.engine, h.lease, s.now); ok {
 		s.inFlight = append(s.inFlight, sent{order: order, at: s.now, lease: h.lease})
@@ -63,21 +63,21 @@
 			waiting = append(waiting, o)
 			continue
 		}
-		if s.ignores || o.order.Fencing >= s.engine.Fencing {
+		if s.ignoresFencing || o.order.Fencing >= s.engine.Fencing {
 			s.engine = State(o.order)
 		}
 	}
 	s.inFlight = waiting
 }
 
-// Two instances order one engine. They are paused and woken, the store's lease
-// goes from one to the other, orders arrive late, and the document changes; the
-// engine may ignore fencing numbers. No order is sent unless it can arrive while
-// its sender's lease runs, and when the pauses end the engine does what the
-// document wants.
+// Guards against orders sent without the lease, and against an engine that is left in
+// another state than the document's. Two instances are paused and resumed, the lease
+// moves between them, orders arrive late, the document changes, and the engine may ignore
+// fencing numbers. Every order has to arrive while its sender's lease is valid, and once
+// the pauses end the engine has to reach the state in the document.
 func TestEngineEndsUpRight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &simulation{now: time.Unix(1e9, 0), owner: -1, ignores: rapid.Bool().Draw(t, "ignores"), service: &service.Service{}}
+		s := &simulation{now: time.Unix(1e9, 0), owner: -1, ignoresFencing: rapid.Bool().Draw(t, "ignores"), service: &service.Service{}}
 		s.engine = State{Version: "v1"}
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			n := rapid.IntRange(0, 1).Draw(t, "instance")
@@ -117,14 +117,14 @@
 	}
 }
 
-// A holder wakes up after a pause that was longer than its lease. It sends
-// nothing, though it has not heard yet that another took over.
+// Guards against orders from a holder that resumes after a pause longer than its lease,
+// and does not know yet that another instance has taken over.
 func TestWokenHolderSendsNothing(t *testing.T) {
 	asked := time.Unix(1e9, 0)
 	s := &service.Service{Orders: service.Orders{Version: "v2"}}
 	lease := NewLease(7, asked)
 	if _, ok := Next(s, "e", State{Version: "v1"}, lease, asked); !ok {
-		t.Error("a fresh lease does not order")
+		t.Error("no order is sent under a fresh lease")
 	}
 	for _, late := range []time.Duration{LeaseTTL - MinLeaseRemaining, LeaseTTL, time.Hour} {
 		if order, ok := Next(s, "e", State{Version: "v1"}, lease, asked.Add(late)); ok {
