--- a/coordination/directory/directory.go
+++ b/coordination/directory/directory.go
@@ -1,40 +1,40 @@
-// Package directory chooses the instances that a caller who asks where to connect is
-// told of. The package does no I/O.
+// Package directory selects the instances that are returned to a caller who asks where
+// to connect. The package does no I/O.
 package directory
 
 import "slices"
 
-// Instance is an entry instance as the one that answers knows it.
+// Instance is an entry instance as known by the instance that answers.
 type Instance struct {
 	Address string
 	Region  string
-	Leaving bool // it stops, and still serves for a while
+	Leaving bool // it is shutting down, and still serves for a while
 }
 
-// Choose returns the instances of the caller's region. While all of them stop, as in a
-// rolling stop that is faster than one stop, those are still named: they serve on, and
-// are back sooner than their callers would be. Only when the region has none at all do
-// others follow: first those of regions that are homes of every route of the host that
-// has homes, since a request that is sent elsewhere carries its data there; then any,
-// since routes without homes can be served from everywhere.
+// Choose returns the instances of the caller's region. If all of them are leaving, as in a
+// rolling restart that is faster than one shutdown, they are returned all the same: they
+// still serve, and are back sooner than their callers would be. Other regions are used only
+// if the region has no instance at all: first the home regions that all routes of the host
+// with home regions share, since a request that is sent elsewhere takes its data there; then
+// any region, since routes without home regions can be served from everywhere.
 func Choose(known []Instance, region string, homes []string) []string {
-	var near, stopping, home, far []string
+	var local, leaving, home, remote []string
 	for _, i := range known {
 		switch {
 		case i.Region == region && i.Leaving:
-			stopping = append(stopping, i.Address)
+			leaving = append(leaving, i.Address)
 		case i.Region == region:
-			near = append(near, i.Address)
+			local = append(local, i.Address)
 		case i.Leaving:
 		case slices.Contains(homes, i.Region):
 			home = append(home, i.Address)
 		default:
-			far = append(far, i.Address)
+			remote = append(remote, i.Address)
 		}
 	}
-	for _, named := range [][]string{near, stopping, home, far} {
-		if len(named) > 0 {
-			return named
+	for _, addresses := range [][]string{local, leaving, home, remote} {
+		if len(addresses) > 0 {
+			return addresses
 		}
 	}
 	return nil
--- a/coordination/directory/directory_test.go
+++ b/coordination/directory/directory_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// The instances of the caller's region stop in turn, faster than one stop takes, and for
-// a moment all of them leave. A host has routes with homes and routes without. Callers
-// stay in their region, and without any instance there they are sent to a home region:
-// named any region, one request in seventeen on the routes with homes carried its data
-// to a region that is neither its home nor its caller's.
+// Guards against callers that are sent to a region that is neither their own nor a home
+// region of the host's routes. The instances of a region shut down in turn, faster than one
+// shutdown takes, so that for a moment all of them are leaving. When callers were then sent
+// to any region, one in seventeen requests on the routes with home regions took its data to
+// a region that was neither its home region nor its caller's.
 func TestHomesComeBeforeOtherRegions(t *testing.T) {
 	suva, labasa, lakeba := Instance{Address: "suva:1", Region: "viti-levu"}, Instance{Address: "labasa:1", Region: "vanua-levu"}, Instance{Address: "lakeba:1", Region: "lau-east"}
 	leaving := Instance{Address: "labasa:2", Region: "vanua-levu", Leaving: true}
@@ -28,7 +28,7 @@
 		{nil, homes, nil},
 	} {
 		if got := Choose(tc.known, "vanua-levu", tc.homes); !slices.Equal(got, tc.want) {
-			t.Errorf("of %v with homes %v: %v, want %v", tc.known, tc.homes, got, tc.want)
+			t.Errorf("instances %v, home regions %v: got %v, want %v", tc.known, tc.homes, got, tc.want)
 		}
 	}
 }
--- a/coordination/via/via.go
+++ b/coordination/via/via.go
@@ -1,7 +1,7 @@
-// Package via keeps requests from looping between services. A request carries a
-// signed token with the services that it has passed; a backend server that calls
-// back into the gateway passes the token on, and a service that is in it already
-// is refused.
+// Package via detects request loops between services. A request carries a signed token
+// that lists the services it has passed through; a backend server that calls back into
+// the gateway forwards the token, and a request for a service that is already in it is
+// refused.
 //
 // The package does no I/O.
 package via
@@ -18,20 +18,20 @@
 )
 
 const (
-	// MaxDepth is how many services one request may pass.
+	// MaxDepth is how many services one request may pass through.
 	MaxDepth = 8
 	// MaxBytes bounds an encoded token.
 	MaxBytes  = 2048
 	separator = "."
 )
 
-// Token is what a request carries.
+// Token is the payload of the signed token.
 type Token struct {
 	Root  string   `json:"root"`  // id of the first request
-	Chain []string `json:"chain"` // services, the first one first
+	Chain []string `json:"chain"` // services, in the order of the calls
 }
 
-// Signer signs and checks tokens with a secret of the whole fleet. It is safe
+// Signer signs and verifies tokens with a secret that the whole fleet shares. It is safe
 // for concurrent use.
 type Signer struct {
 	secret []byte
@@ -40,18 +40,18 @@
 // NewSigner returns a signer. The secret should have at least 32 bytes.
 func NewSigner(secret []byte) *Signer { return &Signer{secret: slices.Clone(secret)} }
 
-func (s *Signer) sum(payload string) []byte {
+func (s *Signer) computeMAC(payload string) []byte {
 	mac := hmac.New(sha256.New, s.secret)
 	mac.Write([]byte(payload))
 	return mac.Sum(nil)
 }
 
-// Extend checks the token of a request for a service and returns the token to
-// hand to that service's backend servers. An empty token begins a chain.
+// Extend verifies the token of a request for a service and returns the token to send to
+// that service's backend servers. An empty token starts a new chain.
 func (s *Signer) Extend(encoded, requestID, service string) (string, *refusal.Refusal) {
 	token := Token{Root: requestID}
 	if encoded != "" {
-		checked, ok := s.check(encoded)
+		checked, ok := s.verify(encoded)
 		if !ok {
 			return "", refusal.New(refusal.CodeForbidden, "the via token is not one of this fleet")
 		}
@@ -73,16 +73,16 @@
 		panic(err) // a struct of strings always has an encoding
 	}
 	payload := base64.RawURLEncoding.EncodeToString(data)
-	return payload + separator + base64.RawURLEncoding.EncodeToString(s.sum(payload))
+	return payload + separator + base64.RawURLEncoding.EncodeToString(s.computeMAC(payload))
 }
 
-func (s *Signer) check(encoded string) (Token, bool) {
+func (s *Signer) verify(encoded string) (Token, bool) {
 	payload, signature, ok := strings.Cut(encoded, separator)
 	if !ok || len(encoded) > MaxBytes {
 		return Token{}, false
 	}
 	sum, err := base64.RawURLEncoding.DecodeString(signature)
-	if err != nil || !hmac.Equal(sum, s.sum(payload)) {
+	if err != nil || !hmac.Equal(sum, s.computeMAC(payload)) {
 		return Token{}, false
 	}
 	data, err := base64.RawURLEncoding.DecodeString(payload)
--- a/coordination/via/via_test.go
+++ b/coordination/via/via_test.go
@@ -9,9 +9,8 @@
 	"github.com/basilroute/basilroute/protocol/refusal"
 )
 
-// Backend servers pass a request on from service to service, each with the token
-// that it was given. However they go on, no service gets the request twice and
-// no chain grows over the limit: the instance refuses, and says that it did not run.
+// Guards against requests that loop between services: no service gets a request twice, no
+// chain exceeds the limit, and the refusal says that the request did not run.
 func TestNoServiceTwiceInAChain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		signers := []*Signer{NewSigner([]byte("fleet")), NewSigner([]byte("fleet"))}
@@ -35,8 +34,8 @@
 	})
 }
 
-// A backend server sends a token that it made up, changed or took from another
-// fleet, to hide where a request has been. It is refused, and nothing runs.
+// Guards against a backend server that hides where a request has been, by a token that it
+// made up, changed or took from another fleet.
 func TestForgedTokenIsRefused(t *testing.T) {
 	own := NewSigner([]byte("fleet"))
 	token, _ := own.Extend("", "root", "a")
@@ -53,7 +52,7 @@
 	}
 }
 
-// The longest token that the limit lets through fits into the header's bound.
+// Guards against a chain within MaxDepth whose token exceeds MaxBytes.
 func TestLongestTokenFits(t *testing.T) {
 	s := NewSigner([]byte("fleet"))
 	token := ""
@@ -64,6 +63,6 @@
 		}
 	}
 	if len(token) > MaxBytes {
-		t.Errorf("%d bytes", len(token))
+		t.Errorf("the token is too long: %d bytes", len(token))
 	}
 }
