--- a/state/backends/backends.go
+++ b/state/backends/backends.go
@@ -1,5 +1,5 @@
-// Package backends holds the backend servers that register themselves: what each
-// says of itself, and when it may be sent work. A table covers all regions.
+// Package backends holds the backend servers that register themselves: the state that
+// each reports, and when it may be sent work. A table covers all regions.
 package backends
 
 import (
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// ReturnGrace is how long a server whose entry was lost while the store was out
-// of reach stays in use after the store is back. Entries of servers that live are
-// back within two seconds of the store's return, by the platform's contract; one
-// that is still missing then belongs to a server that has gone.
+// ReturnGrace is how long a server whose entry disappeared while the store was
+// unreachable stays in use after the store is reachable again. By the platform's contract
+// a live server registers again within two seconds of that; a server whose entry is still
+// missing then has ended.
 const ReturnGrace = 2200 * time.Millisecond
 
-// Server is what a backend server says of itself.
+// Server is the state that a backend server reports.
 type Server struct {
 	ID            string
-	StartUnixMs   int64 // start of this lifetime, in Unix milliseconds by its clock; 0 when not said
+	StartUnixMs   int64 // start of this incarnation, by the server's clock; 0 when not reported
 	Service       string
 	Address       string
 	Domain        string
@@ -26,60 +26,60 @@
 	Version       string
 	Slots         int
 	Draining      bool
-	ColdRemaining time.Duration // how much longer it is cold, from when it said so
-	TimeLeft      time.Duration // until it is taken away; 0 when no notice was given
+	ColdRemaining time.Duration // how much longer it is cold, at the time of the report
+	TimeLeft      time.Duration // until its removal; 0 when no notice was given
 }
 
-// Entry is a server with what the table knows beside its own words.
+// Entry is a server with the state that the table adds to its report.
 type Entry struct {
 	Server
-	Incarnation uint64 // differs between lifetimes of one id
-	ColdUntil   time.Time
-	RemovalTime time.Time // when it is taken away; zero when no notice was given
-	missing     time.Time // since when its entry is missing; zero while it is there
+	Incarnation  uint64 // differs between incarnations of one id
+	ColdUntil    time.Time
+	RemovalTime  time.Time // zero when no notice was given
+	missingSince time.Time // when its entry disappeared; zero while it exists
 }
 
-// Usable tells whether the server may be sent new work.
+// Usable reports whether the server may be sent new work.
 func (e *Entry) Usable(now time.Time) bool {
 	return !e.Draining && (e.RemovalTime.IsZero() || now.Before(e.RemovalTime))
 }
 
 // Table is safe for concurrent use.
 type Table struct {
-	mu        sync.Mutex
-	entries   map[string]*Entry
-	lifetimes uint64
-	away      bool      // the store is out of reach
-	backAt    time.Time // when it was last back
-	evacuated map[string]bool
-	coldAfter map[string]time.Time // by domain: cold until, after an evacuation ended
-	version   uint64
+	mu               sync.Mutex
+	entries          map[string]*Entry
+	incarnations     uint64
+	storeUnreachable bool
+	storeBackAt      time.Time // when it was last reachable again
+	evacuated        map[string]bool
+	coldUntil        map[string]time.Time // by domain, after an evacuation ended
+	version          uint64
 }
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{entries: make(map[string]*Entry), evacuated: make(map[string]bool), coldAfter: make(map[string]time.Time)}
+	return &Table{entries: make(map[string]*Entry), evacuated: make(map[string]bool), coldUntil: make(map[string]time.Time)}
 }
 
-// Version rises with every change.
+// Version returns a number that rises with every change.
 func (t *Table) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// Put takes in a server's entry.
+// Put applies a server's entry.
 func (t *Table) Put(s Server, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.version++
-	known := t.entries[s.ID]
-	if known == nil || known.StartUnixMs != s.StartUnixMs || known.Address != s.Address {
-		t.lifetimes++
-		known = &Entry{Incarnation: t.lifetimes}
+	current := t.entries[s.ID]
+	if current == nil || current.StartUnixMs != s.StartUnixMs || current.Address != s.Address {
+		t.incarnations++
+		current = &Entry{Incarnation: t.incarnations}
 	}
-	next := *known
-	next.Server, next.missing = s, time.Time{}
+	next := *current
+	next.Server, next.missingSince = s, time.Time{}
 	if s.ColdRemaining > 0 {
 		next.ColdUntil = now.Add(s.ColdRemaining)
 	}
@@ -89,65 +89,65 @@
 	t.entries[s.ID] = &next
 }
 
-// Remove takes in that a server's entry is gone. While the store is or was just
-// out of reach that is no proof, see ReturnGrace.
+// Remove records that a server's entry has disappeared. While the store is unreachable,
+// or was until just now, that is no proof that the server has ended, see ReturnGrace.
 func (t *Table) Remove(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.entries[id]
-	if known == nil {
+	current := t.entries[id]
+	if current == nil {
 		return
 	}
 	t.version++
-	if t.away || now.Sub(t.backAt) < ReturnGrace {
-		next := *known
-		next.missing = now
+	if t.storeUnreachable || now.Sub(t.storeBackAt) < ReturnGrace {
+		next := *current
+		next.missingSince = now
 		t.entries[id] = &next
 		return
 	}
 	delete(t.entries, id)
 }
 
-// SetStoreUnreachable takes in whether the store is out of reach.
-func (t *Table) SetStoreUnreachable(away bool, now time.Time) {
+// SetStoreUnreachable sets whether the store is unreachable.
+func (t *Table) SetStoreUnreachable(unreachable bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.away && !away {
-		t.backAt = now
+	if t.storeUnreachable && !unreachable {
+		t.storeBackAt = now
 	}
-	t.away = away
+	t.storeUnreachable = unreachable
 }
 
-// Sweep drops servers whose entries did not come back.
+// Sweep removes servers whose entries are still missing after ReturnGrace.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.away || now.Sub(t.backAt) < ReturnGrace {
+	if t.storeUnreachable || now.Sub(t.storeBackAt) < ReturnGrace {
 		return
 	}
 	for id, e := range t.entries {
-		if !e.missing.IsZero() {
+		if !e.missingSince.IsZero() {
 			delete(t.entries, id)
 			t.version++
 		}
 	}
 }
 
-// RemoveReplaced takes in that another server answers at the address of this one: it
-// has ended, and its address was given away.
+// RemoveReplaced removes an incarnation of a server because another server answers at its
+// address: it has ended, and its address was assigned again.
 func (t *Table) RemoveReplaced(id string, lifetime uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.entries[id]; known != nil && known.Incarnation == lifetime {
+	if current := t.entries[id]; current != nil && current.Incarnation == lifetime {
 		delete(t.entries, id)
 		t.version++
 	}
 }
 
-// SetEvacuated takes in the failure domains whose servers are to get nothing. The
-// servers of a domain that is taken back count as cold for a time: they may have
-// lost their caches, and their entries say so late.
-func (t *Table) SetEvacuated(domains []string, coldFor time.Duration, now time.Time) {
+// SetEvacuated sets the failure domains whose servers get no work. The servers of a domain
+// that is no longer evacuated count as cold for coldPeriod: they may have lost their
+// caches, and their entries report that late.
+func (t *Table) SetEvacuated(domains []string, coldPeriod time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := make(map[string]bool, len(domains))
@@ -156,14 +156,14 @@
 	}
 	for d := range t.evacuated {
 		if !next[d] {
-			t.coldAfter[d] = now.Add(coldFor)
+			t.coldUntil[d] = now.Add(coldPeriod)
 		}
 	}
 	t.evacuated = next
 	t.version++
 }
 
-// Evacuated returns the domains that get nothing, ordered.
+// Evacuated returns the evacuated domains, ordered.
 func (t *Table) Evacuated() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -185,7 +185,7 @@
 			continue
 		}
 		entry := *e
-		if until := t.coldAfter[e.Domain]; until.After(entry.ColdUntil) {
+		if until := t.coldUntil[e.Domain]; until.After(entry.ColdUntil) {
 			entry.ColdUntil = until
 		}
 		out = append(out, entry)
--- a/state/backends/backends_test.go
+++ b/state/backends/backends_test.go
@@ -19,9 +19,10 @@
 	return out
 }
 
-// The store goes away, and entries lapse in it although their servers live. The
-// instance sees them missing when the store is back: it keeps the servers until those
-// that live have registered again, and drops the ones that have not.
+// Guards against live servers that are dropped because their entries expired while the
+// store was unreachable. The instance sees the entries missing once the store is reachable
+// again; it keeps the servers for ReturnGrace and then drops those that have not registered
+// again.
 func TestEntriesThatLapsedInAnOutage(t *testing.T) {
 	table := New()
 	table.Put(server("lives"), start)
@@ -41,12 +42,12 @@
 	}
 	table.Remove("lives", back.Add(time.Minute))
 	if got := usable(table, back.Add(time.Minute)); len(got) != 0 {
-		t.Errorf("an entry that is removed while the store is there still counts: %v", got)
+		t.Errorf("an entry removed while the store is reachable is still in use: %v", got)
 	}
 }
 
-// A server starts again under its id. It is another lifetime: what was known of the
-// one before, such as its being cold or slow, does not hold for it.
+// Guards against state of a server's earlier incarnation, such as being draining or cold,
+// that is applied to the next one with the same id.
 func TestSameIDBornAgain(t *testing.T) {
 	table := New()
 	first := server("s")
@@ -55,45 +56,46 @@
 	first.Draining = true
 	table.Put(first, start)
 	if len(usable(table, start)) != 0 {
-		t.Error("a draining server may be sent work")
+		t.Error("a draining server is usable")
 	}
 	again := server("s")
 	again.StartUnixMs, again.ColdRemaining = 2, time.Second
 	table.Put(again, start)
 	e := usable(table, start)["s"]
 	if e.Incarnation == before || e.Incarnation == 0 || !e.ColdUntil.Equal(start.Add(time.Second)) {
-		t.Errorf("born again: %+v, the lifetime before was %d", e, before)
+		t.Errorf("after the restart: %+v, the earlier incarnation was %d", e, before)
 	}
 	table.RemoveReplaced("s", before)
 	if len(usable(table, start)) != 1 {
-		t.Error("word of the former lifetime removed the present one")
+		t.Error("a report on the earlier incarnation removed the current one")
 	}
 }
 
-// A failure domain is evacuated and taken back. Its servers get nothing in between and
-// count as cold for a time after, because they may have lost their caches and their
-// entries say so late.
+// Guards against work for the servers of an evacuated domain. After the evacuation they
+// count as cold for a time, because they may have lost their caches and their entries
+// report that late.
 func TestEvacuation(t *testing.T) {
 	table := New()
 	table.Put(server("s"), start)
 	table.SetEvacuated([]string{"suva-a"}, time.Second, start)
 	if len(usable(table, start)) != 0 || table.Count("lm", "viti-levu") != 0 {
-		t.Error("an evacuated domain's server may be sent work")
+		t.Error("a server of an evacuated domain is usable")
 	}
 	table.SetEvacuated(nil, time.Second, start)
 	if e := usable(table, start)["s"]; !e.ColdUntil.Equal(start.Add(time.Second)) {
-		t.Errorf("taken back: %+v", e)
+		t.Errorf("after the evacuation: %+v", e)
 	}
 }
 
-// A server is given notice of its removal: it is used until then and not after.
+// Guards against a server with a notice of its removal that is used after that time, or
+// no longer before it.
 func TestNoticeOfRemoval(t *testing.T) {
 	table := New()
 	s := server("s")
 	s.TimeLeft = 2 * time.Second
 	table.Put(s, start)
-	table.Put(s, start.Add(time.Second)) // the same notice again moves nothing
+	table.Put(s, start.Add(time.Second)) // repeating the notice does not move the time
 	if len(usable(table, start.Add(1900*time.Millisecond))) != 1 || len(usable(table, start.Add(2*time.Second))) != 0 {
-		t.Error("want it used for two seconds")
+		t.Error("the server is not usable for exactly two seconds")
 	}
 }
--- a/state/catalog/catalog.go
+++ b/state/catalog/catalog.go
@@ -17,7 +17,7 @@
 
 const shardCount = 32
 
-// KeyPrefix starts every caller's key. A key reads br_<id>_<secret>.
+// KeyPrefix starts every caller's key. A key has the form br_<id>_<secret>.
 const KeyPrefix = "br_"
 
 type keyRecord struct {
@@ -108,8 +108,8 @@
 	s.keys[key.ID] = record
 }
 
-// dropKeys removes an account's keys that its new document does not hold and
-// tells listeners, because a key that is gone must also end open streams.
+// dropKeys removes an account's keys that its new document does not contain and notifies
+// listeners, because a removed key must also end open streams.
 func (c *Catalog) dropKeys(previous *service.Account, keep map[string]bool) {
 	if previous == nil {
 		return
@@ -141,7 +141,8 @@
 	}
 }
 
-// Withdraw makes a key unusable for good. It reports whether that was news.
+// Withdraw makes a key unusable for good. It reports whether the key was not withdrawn
+// before.
 func (c *Catalog) Withdraw(keyID string, atUnixMilli int64) bool {
 	s := c.shard(keyID)
 	s.mu.Lock()
@@ -156,7 +157,8 @@
 	return !known
 }
 
-// OnWithdraw calls fn, without locks held, for every key that stops working.
+// OnWithdraw registers fn to be called, without locks held, for every key that is
+// withdrawn or removed.
 func (c *Catalog) OnWithdraw(fn func(keyID string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,7 +198,7 @@
 	KeyWithdrawn
 )
 
-// Usable tells whether a key that was checked before still works.
+// Usable reports whether a key that was checked before is still valid.
 func (c *Catalog) Usable(keyID string) bool {
 	s := c.shard(keyID)
 	s.mu.RLock()
@@ -206,7 +208,7 @@
 	return known && !withdrawn
 }
 
-// IsWithdrawn tells whether a key was withdrawn.
+// IsWithdrawn reports whether a key was withdrawn.
 func (c *Catalog) IsWithdrawn(keyID string) bool {
 	s := c.shard(keyID)
 	s.mu.RLock()
--- a/state/catalog/key.go
+++ b/state/catalog/key.go
@@ -21,8 +21,8 @@
 	return id, ok && id != "" && secret != ""
 }
 
-// NewKey returns a new key in the form that a caller presents, and the record
-// that the account's document keeps of it.
+// NewKey returns a new key in the form that a caller presents, and the record of it for
+// the account's document.
 func NewKey(id string) (string, service.Key) {
 	secret := make([]byte, secretBytes)
 	_, _ = rand.Read(secret) // never fails since Go 1.24
--- a/state/catalog/size_test.go
+++ b/state/catalog/size_test.go
@@ -13,8 +13,8 @@
 
 var accountSizes = []int{1000, 2000, 4000, 8000}
 
-// accountDocument returns the document of a client account with two keys, and
-// what a caller presents as the first one.
+// accountDocument returns the document of a client account with two keys, and the first
+// key in the form that a caller presents.
 func accountDocument(n int) (text, presented string) {
 	presented, first := NewKey(fmt.Sprintf("account-%d-1", n))
 	_, second := NewKey(fmt.Sprintf("account-%d-2", n))
@@ -37,7 +37,7 @@
 	}
 }
 
-// heap returns the bytes that live on the heap.
+// heap returns the bytes of live heap objects.
 func heap() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -45,8 +45,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-// BenchmarkSizeAccountMemory measures what accounts in force, two keys each,
-// take in memory.
+// BenchmarkSizeAccountMemory measures the memory that accounts in force use, with two
+// keys each.
 func BenchmarkSizeAccountMemory(b *testing.B) {
 	bySize(b, func(b *testing.B, n int) {
 		for b.Loop() {
@@ -74,15 +74,15 @@
 		i := 0
 		for b.Loop() {
 			if _, _, state := c.CheckKey(keys[i%n]); state != KeyValid {
-				b.Fatal("a key does not work")
+				b.Fatal("a valid key was rejected")
 			}
 			i++
 		}
 	})
 }
 
-// BenchmarkSizeSnapshot measures what a new instance does with the documents of
-// all accounts as a peer sends them: decode, check, bring into force.
+// BenchmarkSizeSnapshot measures how a new instance decodes, checks and puts in force the
+// documents of all accounts that a peer sends.
 func BenchmarkSizeSnapshot(b *testing.B) {
 	bySize(b, func(b *testing.B, n int) {
 		response := &peerpb.ExchangeResponse{}
--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -1,9 +1,9 @@
-// Package mirror keeps a copy of the store's items under one prefix, which an
-// instance follows by watching the store or, while the store turns it away, by
-// asking a peer for what it lacks.
+// Package mirror keeps a copy of the store's items under one prefix. An instance updates
+// it by watching the store or, while the store refuses that, by requesting changes from a
+// peer.
 //
-// Items only move forward: an older revision of an item, from a stale read or a
-// peer that lags, never replaces a newer one.
+// An older revision of an item, from a stale read or a peer that lags, never replaces a
+// newer one.
 package mirror
 
 import (
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// Item is a value in the store, or the mark that it was removed.
+// Item is a value in the store, or a tombstone for it.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -20,48 +20,48 @@
 	Removed  bool
 }
 
-// Delta is what changed after one revision up to another.
+// Delta holds the changes after one revision up to another, or a full snapshot.
 type Delta struct {
-	After    int64 // 0 for everything
+	After    int64 // 0 for a full snapshot
 	Revision int64
 	Items    []Item
-	Full     bool // Items are all that exist: what is missing was removed
+	Full     bool // Items is a full snapshot: items that it lacks were removed
 }
 
 // Mirror is safe for concurrent use.
 type Mirror struct {
-	mu       sync.Mutex
-	items    map[string]Item
-	revision int64 // every change up to it is known
-	base     int64 // removals after it are known
+	mu                 sync.Mutex
+	items              map[string]Item
+	revision           int64 // every change up to it is known
+	removalsKnownAfter int64 // every removal after it is known
 }
 
 // New returns an empty mirror.
 func New() *Mirror { return &Mirror{items: make(map[string]Item)} }
 
-// Revision returns up to which revision of the store every change is known; 0
-// when nothing is.
+// Revision returns the revision of the store up to which every change is known; 0 when
+// nothing is known.
 func (m *Mirror) Revision() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision
 }
 
-// Apply takes in a delta and returns the items that changed. A delta that begins
-// after what is known has a gap and changes nothing.
+// Apply applies a delta and returns the items that changed. A delta that starts above the
+// known revision would leave a gap and changes nothing.
 func (m *Mirror) Apply(d Delta) []Item {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if d.Full {
-		return m.replace(d)
+		return m.applyFull(d)
 	}
 	if d.After > m.revision || m.revision == 0 {
 		return nil
 	}
 	var changed []Item
 	for _, item := range d.Items {
-		// Up to m.revision everything is known: what is not here was removed, and a late
-		// answer would bring it back.
+		// Every change up to m.revision is known. An older item that is not in the mirror
+		// was removed, and a late response must not restore it.
 		if item.Revision > m.revision && m.put(item) {
 			changed = append(changed, item)
 		}
@@ -78,9 +78,9 @@
 	return true
 }
 
-// replace takes in a list of everything. Pages of a list are no snapshot, so an
-// item that the list lacks is gone only when its revision is below the list's.
-func (m *Mirror) replace(d Delta) []Item {
+// applyFull applies a full snapshot. It is read in pages and is not consistent, so an item
+// that it lacks is removed only if the item's revision is not above the snapshot's.
+func (m *Mirror) applyFull(d Delta) []Item {
 	if d.Revision < m.revision {
 		return nil
 	}
@@ -100,7 +100,7 @@
 		m.items[key] = gone
 		changed = append(changed, gone)
 	}
-	m.base = d.Revision // what came and went since the last list was never seen here
+	m.removalsKnownAfter = d.Revision // the mirror never saw items that existed only between two snapshots
 	m.revision = d.Revision
 	slices.SortFunc(changed, byRevision)
 	return changed
@@ -110,12 +110,12 @@
 	return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Key, b.Key))
 }
 
-// Since returns what changed after a revision, or everything when removals before
-// it are not known here.
+// Since returns the changes after a revision, or a full snapshot when the mirror does not
+// know all removals since then.
 func (m *Mirror) Since(revision int64) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	d := Delta{After: revision, Revision: m.revision, Full: revision < m.base || revision == 0}
+	d := Delta{After: revision, Revision: m.revision, Full: revision < m.removalsKnownAfter || revision == 0}
 	for _, item := range m.items {
 		if d.Full && !item.Removed || !d.Full && item.Revision > revision {
 			d.Items = append(d.Items, item)
@@ -125,7 +125,7 @@
 	return d
 }
 
-// Items returns what exists, ordered by key.
+// Items returns the existing items, ordered by key.
 func (m *Mirror) Items() []Item {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// history is a store's: every write in the order of its revisions.
+// history holds every write to a store, ordered by revision.
 type history []Item
 
-// at returns what exists at a revision.
+// at returns the items that exist at a revision.
 func (h history) at(revision int64) map[string]Item {
 	state := make(map[string]Item)
 	for _, item := range h {
@@ -55,7 +55,7 @@
 	return h
 }
 
-// Guards against late, repeated or relayed answers that bring back what was replaced or removed.
+// Guards against late, repeated or relayed responses that restore replaced or removed items.
 func TestMirrorsFollowTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := writes(t)
--- a/state/requests/requests.go
+++ b/state/requests/requests.go
@@ -1,5 +1,5 @@
-// Package requests holds the requests in flight, so that a withdrawn key cuts
-// its open streams and a planned stop can wait for the last one.
+// Package requests tracks the requests in flight, so that withdrawing a key cancels its
+// open streams and a graceful shutdown can wait for the last request.
 package requests
 
 import (
@@ -47,8 +47,9 @@
 	return &t.shards[xxhash.Sum64String(keyID)%shardCount]
 }
 
-// Begin registers a request under its key. The context it returns ends when the
-// key is withdrawn. It refuses when the table is closed.
+// Begin registers a request under its key. The context it returns is cancelled when the
+// key is withdrawn or the table cancels all requests. It returns false when the table is
+// closed.
 func (t *Table) Begin(ctx context.Context, keyID string) (context.Context, *Request, bool) {
 	t.mu.Lock()
 	if t.closed {
@@ -69,7 +70,7 @@
 	return ctx, r, true
 }
 
-// End takes the request off.
+// End removes the request and releases its context.
 func (t *Table) End(r *Request) {
 	r.cancel(nil)
 	s := t.shard(r.keyID)
@@ -95,7 +96,7 @@
 	}
 }
 
-// CancelKey cuts every request of a key.
+// CancelKey cancels every request of a key because the key was withdrawn.
 func (t *Table) CancelKey(keyID string) {
 	s := t.shard(keyID)
 	s.mu.Lock()
@@ -105,14 +106,14 @@
 	}
 }
 
-// CancelAll ends every request for a reason.
+// CancelAll cancels every request with a reason.
 func (t *Table) CancelAll(reason *refusal.Refusal) {
 	for i := range t.shards {
-		t.shards[i].cut(reason)
+		t.shards[i].cancelAll(reason)
 	}
 }
 
-func (s *shard) cut(reason *refusal.Refusal) {
+func (s *shard) cancelAll(reason *refusal.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, requests := range s.byKey {
@@ -122,7 +123,8 @@
 	}
 }
 
-// Close refuses new requests. The channel closes when the last one has ended.
+// Close makes Begin refuse new requests. The channel is closed when the last request has
+// ended.
 func (t *Table) Close() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +133,7 @@
 	return t.drained
 }
 
-// Count returns how many requests are in flight.
+// Count returns the number of requests in flight.
 func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/state/routes/routes.go
+++ b/state/routes/routes.go
@@ -1,5 +1,5 @@
-// Package routes holds the HTTP routes, services and client accounts that are in
-// force: one immutable snapshot, which a newer version replaces as a whole.
+// Package routes holds the HTTP routes, services and client accounts in force, as one
+// immutable snapshot that a newer version replaces.
 package routes
 
 import (
@@ -12,46 +12,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what may be repeated.
+// Kind says which requests of a route may be retried.
 type Kind int
 
 // Kinds of routes.
 const (
 	KindIdempotent    Kind = iota // may run more than once
-	KindNonIdempotent             // runs at most once for each attempt of the caller
-	KindStreaming                 // answers with server-sent events
+	KindNonIdempotent             // runs at most once per attempt of the caller
+	KindStreaming                 // responds with server-sent events
 )
 
-// Route brings the requests of a host and path prefix to a service.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name              string
 	Host              string
 	PathPrefix        string // begins and ends with a slash
 	Kind              Kind
-	Timeout           time.Duration // longest time a caller is kept waiting; 0 for none
-	Objective         time.Duration // latency objective, of streams to the first event; 0 for none
-	GapObjective      time.Duration // longest pause between events; 0 for none
+	Timeout           time.Duration // longest time that a caller waits; 0 for none
+	Objective         time.Duration // latency objective, for streams until the first event; 0 for none
+	GapObjective      time.Duration // longest gap between events of a stream; 0 for none
 	Priority          int           // 0 is the most urgent
 	Targets           []Target
-	MaxAttempts       int // backend servers that one attempt of a caller may be sent to
+	MaxAttempts       int // backend servers that one attempt of the caller may be sent to
 	Public            bool
-	HasPromptSegments bool // requests name the parts of a prompt
-	Resumable         bool // a stream may go on at another server
+	HasPromptSegments bool // requests name the segments of their prompt
+	Resumable         bool // a stream may be resumed on another server
 	HomeRegions       []string
 }
 
-// Target is a service with the weight of its part of the route's requests.
+// Target is a service and its weight among the targets of a route.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStreaming && r.Resumable
 }
 
-// PickService returns the service for a request. The same request id gives the same one.
+// PickService returns the service for a request, chosen by weight. A request id always
+// gives the same service. It returns "" when the weights are zero.
 func (r *Route) PickService(requestID string) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -73,23 +74,23 @@
 // Service is a group of backend servers.
 type Service struct {
 	Name      string
-	MaxConns  int           // connections that a server takes from all callers; 0 when not known
+	MaxConns  int           // connections that a server accepts from all callers together; 0 when not known
 	ColdStart time.Duration // how long a server is cold after its start
-	ColdRate  float64       // requests per second that a cold server takes, over all instances; 0 for no limit
+	ColdRate  float64       // requests per second that a cold server is sent by all instances together; 0 for no limit
 	Engine    *Engine       // nil for a plain service
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots       int // requests in a batch
-	CacheTokens int // capacity for running requests and cached prompts
+	Slots       int // max requests in a batch
+	CacheTokens int // cache capacity for running requests and cached prompts
 	// TokenBytes is the size of a cached token and LinkRate the bytes per second at
-	// which servers move cached parts to each other; 0 when they move none.
+	// which servers transfer cached segments to each other; 0 when they transfer none.
 	TokenBytes float64
 	LinkRate   float64
 }
 
-// Limits bound what callers may send. 0 stands for no limit.
+// Limits bounds callers' requests. 0 means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -100,10 +101,10 @@
 // Account is a client account.
 type Account struct {
 	Name        string
-	Priority    int // takes precedence over the route's; below 0 when not set
+	Priority    int // overrides the route's; below 0 when not set
 	Rate        float64
 	Burst       float64
-	CountTokens bool // rate and burst count tokens, and not requests
+	CountTokens bool // rate and burst count tokens instead of requests
 	PlainTokens float64
 	HomeRegions []string
 }
@@ -111,7 +112,7 @@
 // KeyHash is the SHA-256 of a caller's key.
 type KeyHash = [sha256.Size]byte
 
-// Config is one version of everything. It is not changed once it is offered.
+// Config is one version of the configuration. It must not be changed after Offer.
 type Config struct {
 	Version  int64
 	Routes   []Route
@@ -134,8 +135,7 @@
 	}
 }
 
-// Match returns the route of a host with the longest prefix that begins the path,
-// or nil.
+// Match returns the route of the host with the longest prefix of the path, or nil.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.byHost[host] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// HostHomeRegions returns the regions that are homes of every route of the host that has
-// homes; nil when none has.
+// HostHomeRegions returns the home regions that are common to all routes of the host with
+// home regions; nil when no route has any.
 func (c *Config) HostHomeRegions(host string) []string {
 	var homes []string
 	for _, r := range c.byHost[host] {
@@ -161,7 +161,7 @@
 	return homes
 }
 
-// Authenticate returns the account that holds a key, or nil.
+// Authenticate returns the account that a key belongs to, or nil.
 func (c *Config) Authenticate(key string) *Account {
 	name, ok := c.Keys[sha256.Sum256([]byte(key))]
 	if !ok {
@@ -170,22 +170,23 @@
 	return c.Accounts[name]
 }
 
-// AllowedRegions returns the homes of a request: those of the route and of the
-// account, both where both have some. anywhere is true when neither has.
+// AllowedRegions returns the regions in which a request may run: the home regions of its
+// route and of its account, or those common to both if both have some. anywhere is true
+// when neither has any.
 func AllowedRegions(r *Route, a *Account) (homes []string, anywhere bool) {
-	var own []string
+	var accountHomes []string
 	if a != nil {
-		own = a.HomeRegions
+		accountHomes = a.HomeRegions
 	}
 	switch {
-	case len(r.HomeRegions) == 0 && len(own) == 0:
+	case len(r.HomeRegions) == 0 && len(accountHomes) == 0:
 		return nil, true
-	case len(own) == 0:
+	case len(accountHomes) == 0:
 		return r.HomeRegions, false
 	case len(r.HomeRegions) == 0:
-		return own, false
+		return accountHomes, false
 	}
-	return intersect(r.HomeRegions, own), false
+	return intersect(r.HomeRegions, accountHomes), false
 }
 
 func intersect(a, b []string) []string {
@@ -204,8 +205,8 @@
 // Current returns the configuration in force, or nil before the first one.
 func (t *Table) Current() *Config { return t.current.Load() }
 
-// Offer puts a configuration in force if it is newer. An older one, from a late
-// read or a peer that lags, changes nothing.
+// Offer puts a configuration in force if it is newer than the current one. An older one,
+// from a late read or a peer that lags, changes nothing.
 func (t *Table) Offer(c *Config) bool {
 	c.index()
 	for {
--- a/state/routes/routes_test.go
+++ b/state/routes/routes_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// The longest prefix that begins the path decides; a part of a path segment does not.
+// The longest prefix of the path wins. A prefix matches only complete path segments.
 func TestMatch(t *testing.T) {
 	var table Table
 	table.Offer(testConfig(1))
@@ -34,7 +34,7 @@
 	}
 }
 
-// Versions come late, twice and out of order. What is in force never falls back.
+// Guards against late, repeated or reordered versions that replace a newer one.
 func TestOlderVersionsChangeNothing(t *testing.T) {
 	var table Table
 	for _, step := range []struct{ version, want int64 }{{4, 4}, {2, 4}, {9, 9}, {9, 9}, {7, 9}} {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestSplitFollowsTheWeights(t *testing.T) {
+func TestTargetsFollowWeights(t *testing.T) {
 	r := testConfig(1).Routes[2]
 	counts := map[string]int{}
 	for i := range 10_000 {
@@ -56,13 +56,14 @@
 	}
 }
 
-// Where route and account both have homes, both bind.
+// Guards against requests outside the home regions of the route or of the account, where
+// both have some.
 func TestHomesOfRouteAndAccount(t *testing.T) {
 	c := testConfig(1)
 	c.index()
 	account := c.Authenticate("k")
 	if account == nil || c.Authenticate("lost") != nil || c.Authenticate("other") != nil {
-		t.Fatal("keys")
+		t.Fatal("Authenticate returned a wrong account")
 	}
 	for route, want := range map[int][]string{0: {"y"}, 1: {"y"}, 2: {"y"}} {
 		if homes, anywhere := AllowedRegions(&c.Routes[route], account); anywhere || !slices.Equal(homes, want) {
@@ -70,12 +71,12 @@
 		}
 	}
 	if homes, _ := AllowedRegions(&Route{HomeRegions: []string{"x"}}, account); len(homes) != 0 {
-		t.Errorf("homes that exclude each other: %v", homes)
+		t.Errorf("disjoint home regions: %v", homes)
 	}
 	if _, anywhere := AllowedRegions(&c.Routes[0], nil); !anywhere {
-		t.Error("a request without homes is bound")
+		t.Error("a request without home regions is restricted")
 	}
 	if homes := c.HostHomeRegions("h"); !slices.Equal(homes, []string{"y"}) {
-		t.Errorf("homes of the host: %v", homes)
+		t.Errorf("home regions of the host: %v", homes)
 	}
 }
--- a/state/servers/entry.go
+++ b/state/servers/entry.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// initialLimit is how many requests a server gets from this instance before
-// anything is known of it. The limit then doubles with every round of answers.
+// initialLimit is how many requests an instance sends to a server at a time before it has
+// measured any. The limit then doubles with every round of responses.
 const initialLimit = 4
 
-// Entry is one backend server in the table. Decisions read it without a lock:
+// Entry is one backend server in the table. Routing decisions read it without a lock:
 // the view is replaced as a whole, the counters are atomic.
 type Entry struct {
 	slot int
 	mu   sync.Mutex // held by writers of the view
 	view atomic.Pointer[Server]
 
-	inFlight  atomic.Int64
-	bulk      atomic.Int64 // of inFlight
-	pending   atomic.Int64
-	limit     atomic.Int64
-	bulkLimit atomic.Int64
+	inFlight      atomic.Int64
+	bulkInFlight  atomic.Int64 // part of inFlight
+	pendingTokens atomic.Int64
+	limit         atomic.Int64
+	bulkLimit     atomic.Int64
 }
 
-// Facts is what decisions read of a server for every request, worked out when
+// Facts holds what routing decisions read of a server for every request, computed when
 // the view changes. Times are in nanoseconds since 1970, durations in seconds.
 type Facts struct {
 	Usable           bool
@@ -32,11 +32,11 @@
 	ReportedAt       int64
 	Since            int64
 	PrefillRate      float64 // prompt tokens per second; 0 when not known
-	StepTime         float64 // to give each running request a token
-	QueueDrainTime   float64 // for what waits in the server to start
-	OtherRequests    float64 // requests of other instances
+	StepTime         float64 // time to generate one token for each running request
+	QueueDrainTime   float64 // time until the requests waiting on the server have started
+	OtherRequests    float64 // requests of other instances on the server
 	WaitingTokens    float64
-	FirstTokenFactor float64 // measured against expected time to the first token
+	FirstTokenFactor float64 // measured over expected time to the first token
 }
 
 func factsOf(s *Server) Facts {
@@ -57,7 +57,7 @@
 	return f
 }
 
-// Facts returns what decisions read of the server. It is not to be changed.
+// Facts returns the precomputed values for routing decisions. They are read-only.
 func (s *Server) Facts() *Facts { return &s.facts }
 
 func newEntry(id string, slot int, now time.Time) *Entry {
@@ -67,11 +67,11 @@
 	return e
 }
 
-// View returns what is known of the server. It is shared and not to be changed;
-// InFlight and Limit are only set in copies.
+// View returns the current state of the server. It is shared and read-only; InFlight and
+// Limit are set only in copies.
 func (e *Entry) View() *Server { return e.view.Load() }
 
-// Slot is a small number that no other server of the service has now.
+// Slot returns a small number that no other current server of the service has.
 func (e *Entry) Slot() int { return e.slot }
 
 // Copy returns the view with the counters filled in.
@@ -81,7 +81,7 @@
 	return server
 }
 
-func (e *Entry) change(change func(*Server)) {
+func (e *Entry) modify(change func(*Server)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	next := *e.view.Load()
@@ -90,66 +90,69 @@
 	e.view.Store(&next)
 }
 
-// Begin counts a request of this instance and the prompt tokens that the server
-// has to compute for it.
+// Begin counts a request of this instance and the prompt tokens that the server has to
+// prefill for it.
 func (e *Entry) Begin(promptTokens int, bulk bool) {
 	e.inFlight.Add(1)
 	if bulk {
-		e.bulk.Add(1)
+		e.bulkInFlight.Add(1)
 	}
-	e.pending.Add(int64(promptTokens))
+	e.pendingTokens.Add(int64(promptTokens))
 }
 
-// EndPrefill takes off the prompt tokens: the first token has come, or never will.
-func (e *Entry) EndPrefill(promptTokens int) { e.pending.Add(-int64(promptTokens)) }
+// EndPrefill removes the prompt tokens from the pending ones: the first token has arrived,
+// or never will.
+func (e *Entry) EndPrefill(promptTokens int) { e.pendingTokens.Add(-int64(promptTokens)) }
 
 // End is the counterpart of Begin.
 func (e *Entry) End(bulk bool) {
 	e.inFlight.Add(-1)
 	if bulk {
-		e.bulk.Add(-1)
+		e.bulkInFlight.Add(-1)
 	}
 }
 
 // Bulk returns how many of this instance's requests on the server are bulk.
-func (e *Entry) Bulk() int { return int(e.bulk.Load()) }
+func (e *Entry) Bulk() int { return int(e.bulkInFlight.Load()) }
 
-// BulkLimit returns how many bulk requests of this instance the server may have.
+// BulkLimit returns how many bulk requests this instance may have on the server.
 func (e *Entry) BulkLimit() int { return int(e.bulkLimit.Load()) }
 
-// InFlight returns how many requests of this instance the server has.
+// InFlight returns how many requests this instance has on the server.
 func (e *Entry) InFlight() int { return int(e.inFlight.Load()) }
 
-// PendingTokens returns the prompt tokens of this instance that wait for their first token.
-func (e *Entry) PendingTokens() int { return int(e.pending.Load()) }
+// PendingTokens returns the prompt tokens of this instance's requests that wait for their
+// first token.
+func (e *Entry) PendingTokens() int { return int(e.pendingTokens.Load()) }
 
-// Limit returns how many requests of this instance the server may have.
+// Limit returns how many requests this instance may have on the server.
 func (e *Entry) Limit() int { return int(e.limit.Load()) }
 
-// SetLimit replaces the limits of all and of bulk requests.
+// SetLimit sets the limits for all requests and for bulk requests.
 func (e *Entry) SetLimit(limit, bulk int) {
 	e.limit.Store(int64(limit))
 	e.bulkLimit.Store(int64(bulk))
 }
 
-// SetMeasurements replaces what this instance measured of the server: how long a
-// request lasts, and how the time to the first token compares with the expected one.
+// SetMeasurements sets what this instance measured of the server: the mean duration of a
+// request, and the measured over the expected time to the first token.
 func (e *Entry) SetMeasurements(duration time.Duration, factor float64) {
-	e.change(func(server *Server) {
+	e.modify(func(server *Server) {
 		server.MeanDuration, server.LatencyFactor = duration, factor
 	})
 }
 
-// RecordError counts a failed request and returns how many failed in a row.
+// RecordError counts a failed request and returns the number of consecutive failures.
 func (e *Entry) RecordError() int {
-	e.change(func(server *Server) { server.Errors++ })
+	e.modify(func(server *Server) { server.Errors++ })
 	return e.View().Errors
 }
 
-// RecordSuccess notes an answer: the server is no outlier any more.
+// RecordSuccess records a response: it resets the counters of consecutive failures and
+// ejections.
 func (e *Entry) RecordSuccess() {
 	if v := e.View(); v.Ejections == 0 && v.Errors == 0 {
 		return
 	}
-	e.change(func(server *Server) { server.Ejections, server.Errors = 0, 0 })
+	e.modify(func(server *Server) { server.Ejections, server.Errors = 0, 0 })
 }
--- a/state/servers/servers.go
+++ b/state/servers/servers.go
@@ -1,6 +1,6 @@
-// Package servers holds what an instance knows of the backend servers in its
-// failure domain: identity and version from the platform's list, reported load,
-// and the instance's own requests in flight. It is split into shards by service.
+// Package servers holds an instance's state of the backend servers in its failure domain:
+// identity and version from the platform's list, reported load, and the instance's own
+// requests in flight. It is split into shards by service.
 package servers
 
 import (
@@ -14,7 +14,7 @@
 
 const shardCount = 16
 
-// Load is a backend server's report, as old as At says.
+// Load is a backend server's load report as of the time At.
 type Load struct {
 	At            time.Time
 	BootID        string
@@ -23,11 +23,11 @@
 	WaitingTokens int
 	PrefillRate   float64 // prompt tokens per second; 0 when not known
 	DecodeRate    float64 // output tokens per second; 0 when not known
-	CacheUsed     float64 // share of the cache memory in use
+	CacheUsed     float64 // fraction of the cache memory in use
 	Leaving       bool
 }
 
-// Server is what is known of one backend server.
+// Server is the known state of one backend server.
 type Server struct {
 	facts         Facts
 	ID            string
@@ -36,26 +36,26 @@
 	Address       string // base URL
 	Region        string
 	Domain        string
-	Listed        bool // on the platform's list as live
-	Leaving       bool // by the list or its own word
+	Listed        bool // on the platform's list of live servers
+	Leaving       bool // according to the list or the server's report
 	Since         time.Time
 	Load          Load
-	OwnAtReport   int // requests of this instance in flight when Load came in
-	Failures      int // polls in a row
-	Errors        int // requests in a row
+	OwnAtReport   int // requests of this instance in flight when Load arrived
+	Failures      int // consecutive failed polls and calls
+	Errors        int // consecutive failed requests
 	Polled        bool
 	EjectedUntil  time.Time // as an outlier
-	Ejections     int       // in a row
+	Ejections     int       // consecutive
 	InFlight      int       // of this instance; set in copies only
 	Limit         int       // of InFlight; set in copies only
 	MeanDuration  time.Duration
 	LatencyFactor float64
 }
 
-// Usable tells whether the server may get new work.
+// Usable reports whether the server may get new work.
 func (s *Server) Usable() bool { return s.Listed && !s.Leaving && s.Polled }
 
-// Ejected tells whether the server is set aside as an outlier.
+// Ejected reports whether the server is ejected as an outlier.
 func (s *Server) Ejected(now time.Time) bool { return now.Before(s.EjectedUntil) }
 
 type shard struct {
@@ -83,14 +83,14 @@
 	return &t.shards[xxhash.Sum64String(service)%shardCount]
 }
 
-// Identity is what the platform's list says of a server.
+// Identity is the platform list's entry for a server.
 type Identity struct {
 	ID, Service, Version, Address, Region, Domain string
 	Leaving                                       bool
 }
 
-// Replace takes in a new list. A server that is no longer listed gets no new
-// work; it is forgotten when its last request has ended.
+// Replace applies a new list. A server that is no longer listed gets no new work; it is
+// removed once its last request has ended.
 func (t *Table) Replace(list []Identity, now time.Time) {
 	listed := make(map[string]bool, len(list))
 	for _, identity := range list {
@@ -111,7 +111,7 @@
 		entry = newEntry(identity.ID, s.freeSlot(identity.Service), now)
 		s.servers[identity.ID] = entry
 	}
-	entry.change(func(server *Server) {
+	entry.modify(func(server *Server) {
 		server.Service, server.Version, server.Address = identity.Service, identity.Version, identity.Address
 		server.Region, server.Domain = identity.Region, identity.Domain
 		server.Listed = true
@@ -134,8 +134,9 @@
 	return slot
 }
 
-// unlist takes in which servers are not listed any more, and regroups once for
-// the whole list: regrouping for each server takes time by its square.
+// unlist marks the servers that are no longer listed, removes those without requests in
+// flight, and regroups once for the whole list: regrouping for each server would take
+// quadratic time.
 func (s *shard) unlist(listed map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +144,7 @@
 		if listed[id] {
 			continue
 		}
-		entry.change(func(server *Server) { server.Listed = false })
+		entry.modify(func(server *Server) { server.Listed = false })
 		if entry.InFlight() == 0 {
 			delete(s.servers, id)
 		}
@@ -151,7 +152,7 @@
 	s.regroup()
 }
 
-// regroup builds the lists that decisions read without copying.
+// regroup rebuilds the lists by service, which decisions read without copying.
 func (s *shard) regroup() {
 	groups := make(map[string][]*Entry, len(s.services))
 	for _, entry := range s.servers {
@@ -170,30 +171,30 @@
 	entry, ok := s.servers[id]
 	s.mu.RUnlock()
 	if ok {
-		entry.change(change)
+		entry.modify(change)
 	}
 }
 
-// Report takes in a server's load. Another boot id means that it restarted.
+// Report applies a server's load report. A new boot id means that the server restarted.
 func (t *Table) Report(service, id string, load Load) {
 	entry := t.Entry(service, id)
 	if entry == nil {
 		return
 	}
-	own := entry.InFlight()
-	entry.change(func(server *Server) {
+	inFlight := entry.InFlight()
+	entry.modify(func(server *Server) {
 		if server.Load.BootID != "" && server.Load.BootID != load.BootID {
 			server.Since = load.At
 		}
-		server.Load, server.OwnAtReport = load, own
+		server.Load, server.OwnAtReport = load, inFlight
 		server.Polled = true
 		server.Leaving = server.Leaving || load.Leaving
 		server.Failures = 0
 	})
 }
 
-// RecordCallFailure notes that a call to the server failed. After enough failures in a row
-// it counts as not polled, until it reports again.
+// RecordCallFailure counts a failed call to the server. After limit consecutive failures
+// the server counts as not polled until its next report.
 func (t *Table) RecordCallFailure(service, id string, limit int) {
 	t.update(service, id, func(server *Server) {
 		server.Failures++
@@ -203,8 +204,8 @@
 	})
 }
 
-// MarkProcessEnded notes that the process with a boot id is gone. The server gets no new
-// work until it reports again.
+// MarkProcessEnded records that the process with a boot id has ended. The server gets no
+// new work until its next report.
 func (t *Table) MarkProcessEnded(id, bootID string) {
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -212,13 +213,13 @@
 		entry, ok := s.servers[id]
 		s.mu.RUnlock()
 		if ok && entry.View().Load.BootID == bootID {
-			entry.change(func(server *Server) { server.Polled = false })
+			entry.modify(func(server *Server) { server.Polled = false })
 		}
 	}
 }
 
-// Eject sets a server aside until a time, unless more than half of the
-// service's usable servers would then be set aside.
+// Eject ejects a server until a time, unless more than half of the service's usable
+// servers would then be ejected. It reports whether the server was ejected.
 func (t *Table) Eject(service, id string, now, until time.Time) bool {
 	s := t.shard(service)
 	s.mu.Lock()
@@ -238,15 +239,14 @@
 	if !ok || ejected*2 > usable {
 		return false
 	}
-	entry.change(func(server *Server) {
+	entry.modify(func(server *Server) {
 		server.EjectedUntil = until
 		server.Ejections++
 	})
 	return true
 }
 
-// Entries returns a service's servers, ordered by id. The slice is shared and
-// not to be changed.
+// Entries returns a service's servers, ordered by id. The slice is shared and read-only.
 func (t *Table) Entries(service string) []*Entry {
 	s := t.shard(service)
 	s.mu.RLock()
--- a/state/servers/size_test.go
+++ b/state/servers/size_test.go
@@ -27,10 +27,10 @@
 	return float64(stats.HeapAlloc)
 }
 
-// BenchmarkSizeDomainServerMemory measures what the servers of the own failure
-// domain, the only ones that an instance keeps, take in memory.
+// BenchmarkSizeDomainServerMemory measures the memory that the servers of the local
+// failure domain use, which are the only ones an instance keeps.
 func BenchmarkSizeDomainServerMemory(b *testing.B) {
-	const tables = 100 // of a size that the heap's noise does not hide
+	const tables = 100 // enough to exceed the noise of the heap size
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			for b.Loop() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkSizeDomainServerList measures taking in the platform's list.
+// BenchmarkSizeDomainServerList measures applying the platform's list.
 func BenchmarkSizeDomainServerList(b *testing.B) {
 	for _, n := range serverSizes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
