--- a/service/check.go
+++ b/service/check.go
@@ -69,7 +69,7 @@
 	checkLimits(r, s.Limits)
 	checkOperations(r, s)
 	checkOrders(r, s)
-	return done(r, &Document{Kind: KindService, Name: s.Name, Service: s})
+	return documentOrFindings(r, &Document{Kind: KindService, Name: s.Name, Service: s})
 }
 
 func parseAccount(source *yamldoc.Source) (*Document, error) {
@@ -82,7 +82,7 @@
 		checkRange(r, "shares."+domain, float64(weight), 0, 1e6)
 	}
 	checkKeys(r, a.Keys)
-	return done(r, &Document{Kind: KindAccount, Name: a.Name, Account: a})
+	return documentOrFindings(r, &Document{Kind: KindAccount, Name: a.Name, Account: a})
 }
 
 func parseFleet(source *yamldoc.Source) (*Document, error) {
@@ -96,17 +96,17 @@
 	}
 	checkRegions(r, f.Regions)
 	checkSlots(r, f.Slots)
-	return done(r, &Document{Kind: KindFleet, Name: f.Name, Fleet: f})
+	return documentOrFindings(r, &Document{Kind: KindFleet, Name: f.Name, Fleet: f})
 }
 
-func done(r *yamldoc.Report, d *Document) (*Document, error) {
+func documentOrFindings(r *yamldoc.Report, d *Document) (*Document, error) {
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// ValidName tells whether a name of a document, a key or an operation is well formed.
+// ValidName reports whether the name of a document, a key or an operation is well formed.
 func ValidName(name string) bool {
 	return len(name) <= maxNameBytes && namePattern.MatchString(name)
 }
@@ -127,13 +127,13 @@
 }
 
 func checkRange(r *yamldoc.Report, path string, have, low, high float64) {
-	if !(have >= low && have <= high) { // written so that NaN is a finding
-		r.Addf(path, "want %s to %s, have %s", number(low), number(high), number(have))
+	if !(have >= low && have <= high) { // this form also rejects NaN
+		r.Addf(path, "want %s to %s, have %s", formatNumber(low), formatNumber(high), formatNumber(have))
 	}
 }
 
-// number prints a limit as a team would write it, without an exponent.
-func number(v float64) string {
+// formatNumber formats a number the way teams write it in documents, without an exponent.
+func formatNumber(v float64) string {
 	return strconv.FormatFloat(v, 'f', -1, 64)
 }
 
@@ -205,7 +205,7 @@
 	if len(regions) == 0 {
 		r.Addf("regions", "a fleet needs at least one region")
 	}
-	owner := make(map[string]string)
+	regionOf := make(map[string]string)
 	for name, region := range regions {
 		path := "regions." + name
 		if len(region.Domains) == 0 {
@@ -215,10 +215,10 @@
 			if !namePattern.MatchString(domain) {
 				r.Addf(path+".domains."+strconv.Itoa(i), "want lower-case letters, digits and dashes, have %q", domain)
 			}
-			if other, ok := owner[domain]; ok {
+			if other, ok := regionOf[domain]; ok {
 				r.Addf(path+".domains."+strconv.Itoa(i), "%q is already in region %s", domain, other)
 			}
-			owner[domain] = name
+			regionOf[domain] = name
 		}
 	}
 }
--- a/service/doc.go
+++ b/service/doc.go
@@ -1,5 +1,5 @@
-// Package service holds the documents that drive the fleet: one for each
-// service, one for each client account, and one for the fleet. It decodes and
-// checks them and fills in defaults. A document that passes is accepted by an
-// acknowledged compare-and-swap on the platform's store.
+// Package service defines the documents that configure the fleet: one for each service,
+// one for each client account, and one for the fleet. It decodes and checks them and sets
+// defaults. A valid document is accepted by an acknowledged compare-and-swap on the
+// platform's store.
 package service
--- a/service/document.go
+++ b/service/document.go
@@ -17,10 +17,10 @@
 	KindFleet   Kind = "fleet"
 )
 
-// KeyPrefix is where documents stand in the store.
+// KeyPrefix is the prefix of the documents' store keys.
 const KeyPrefix = "config/"
 
-// FleetName is the name of the one fleet document.
+// FleetName is the name of the only fleet document.
 const FleetName = "fleet"
 
 // Document is a decoded and checked document. Exactly one of the pointers is set.
@@ -40,7 +40,7 @@
 	return KeyPrefix + string(kind) + "/" + name
 }
 
-// SplitKey returns the kind and name that a store key stands for.
+// SplitKey returns the kind and name of the document with a store key.
 func SplitKey(key string) (Kind, string, bool) {
 	rest, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
@@ -50,7 +50,7 @@
 	return Kind(kind), name, ok
 }
 
-// Type tells model engines and plain services apart.
+// Type distinguishes model services from plain services.
 type Type string
 
 // Types of services.
@@ -59,7 +59,7 @@
 	TypePlain Type = "plain"
 )
 
-// Class is a request's class of urgency.
+// Class is the urgency class of a request.
 type Class string
 
 // Classes of requests.
@@ -68,22 +68,22 @@
 	ClassBulk        Class = "bulk"
 )
 
-// Policy names what routing of a service favours.
+// Policy is the optimization goal of a service's routing.
 type Policy string
 
 // Routing policies.
 const (
-	PolicyLatency Policy = "latency" // expected time to first token counts most
-	PolicyCost    Policy = "cost"    // engine seconds and prompt tokens computed again count most
+	PolicyLatency Policy = "latency" // expected time to first token has the highest weight
+	PolicyCost    Policy = "cost"    // engine seconds and recomputed prompt tokens have the highest weight
 )
 
-// Service is the document by which a team drives its service.
+// Service is the document by which a team configures its service.
 type Service struct {
 	Kind       Kind                 `yaml:"kind"`
 	Name       string               `yaml:"name"`
 	Type       Type                 `yaml:"type"`
-	Regions    []string             `yaml:"regions"`  // where it may run; all when empty
-	Domains    []string             `yaml:"domains"`  // narrows the regions; all of them when empty
+	Regions    []string             `yaml:"regions"`  // where it may run; in all when empty
+	Domains    []string             `yaml:"domains"`  // narrows the regions; all of their domains when empty
 	Versions   []string             `yaml:"versions"` // versions that may serve; any when empty
 	Policy     Policy               `yaml:"policy"`
 	Classes    Classes              `yaml:"classes"`
@@ -92,13 +92,13 @@
 	Operations map[string]Operation `yaml:"operations"`
 	Limits     Limits               `yaml:"limits"`
 	Orders     Orders               `yaml:"orders"`
-	Fencing    bool                 `yaml:"fencing"` // engines refuse an order with an old fencing number
+	Fencing    bool                 `yaml:"fencing"` // engines reject an order with an old fencing number
 }
 
-// Orders is what the service's engines are to do.
+// Orders is the desired state of the service's engines.
 type Orders struct {
-	Version  string   `yaml:"version"`  // to load; left as it is when empty
-	Draining []string `yaml:"draining"` // ids of servers that take no new work
+	Version  string   `yaml:"version"`  // to load; unchanged when empty
+	Draining []string `yaml:"draining"` // ids of servers that get no new work
 }
 
 // Classes holds the settings of each class.
@@ -110,29 +110,29 @@
 // ClassSettings bounds how long a request waits and runs.
 type ClassSettings struct {
 	MaxWait  time.Duration `yaml:"max_wait"` // in the queue and for tokens
-	Deadline time.Duration `yaml:"deadline"` // for the whole answer
-	Floor    float64       `yaml:"floor"`    // share of slots kept for the class, 0 to 0.5
+	Deadline time.Duration `yaml:"deadline"` // for the complete response
+	Floor    float64       `yaml:"floor"`    // fraction of slots reserved for the class, 0 to 0.5
 }
 
-// Retry bounds what failures may add to the load.
+// Retry bounds the load that retries add.
 type Retry struct {
-	Budget   float64 `yaml:"budget"`   // retries as a share of requests
-	Attempts int64   `yaml:"attempts"` // in all, the first one included
+	Budget   float64 `yaml:"budget"`   // retries as a fraction of requests
+	Attempts int64   `yaml:"attempts"` // in total, including the first
 }
 
-// Spill bounds what is sent to another region.
+// Spill bounds the requests that are sent to other regions.
 type Spill struct {
 	Disabled bool          `yaml:"disabled"`
-	Gain     time.Duration `yaml:"gain"` // expected time won before a request leaves its region
+	Gain     time.Duration `yaml:"gain"` // min expected time saved for a request to be sent to another region
 }
 
 // Operation is an operation of a plain service.
 type Operation struct {
-	Repeatable bool  `yaml:"repeatable"` // idempotent: running it twice does no harm
+	Repeatable bool  `yaml:"repeatable"` // idempotent: it may run more than once
 	Cost       int64 `yaml:"cost"`       // tokens charged to the account
 }
 
-// Limits bounds requests of the service.
+// Limits bounds the requests of the service.
 type Limits struct {
 	BodyBytes    int64 `yaml:"body_bytes"`
 	PromptTokens int64 `yaml:"prompt_tokens"`
@@ -148,14 +148,14 @@
 	Home   string           `yaml:"home"`   // region its data must stay in; anywhere when empty
 	Rate   float64          `yaml:"rate"`   // tokens per second over the fleet
 	Burst  float64          `yaml:"burst"`  // tokens
-	Shares map[string]int64 `yaml:"shares"` // weight of each failure domain; even when empty
+	Shares map[string]int64 `yaml:"shares"` // weight of each failure domain; equal when empty
 	Keys   []Key            `yaml:"keys"`
 }
 
-// Key is a caller's key. Only its hash is kept.
+// Key is a caller's key, stored only as a hash.
 type Key struct {
 	ID     string `yaml:"id"`
-	SHA256 string `yaml:"sha256"` // of the whole key, in hexadecimal
+	SHA256 string `yaml:"sha256"` // of the complete key, in hexadecimal
 }
 
 // Fleet is the document that describes the fleet.
@@ -171,17 +171,17 @@
 	Domains []string `yaml:"domains"`
 }
 
-// Slots sets how each failure domain's part of the quota is held.
+// Slots configures how the allocation of the quota to each failure domain is held.
 type Slots struct {
 	PerDomain int64         `yaml:"per_domain"`
 	Lease     time.Duration `yaml:"lease"`
 	Promise   time.Duration `yaml:"promise"`
-	Peers     int64         `yaml:"peers"`    // holders asked for promises, in a renewal's list
-	Promises  int64         `yaml:"promises"` // fresh promises needed to go on minting without the store
-	Release   time.Duration `yaml:"release"`  // after the lease, when nobody is left who may take the slot
+	Peers     int64         `yaml:"peers"`    // holders asked for promises, listed in each renewal
+	Promises  int64         `yaml:"promises"` // fresh promises needed to keep minting without the store
+	Release   time.Duration `yaml:"release"`  // after the lease, when no remaining holder may take the slot
 }
 
-// RegionOfDomain returns whether the fleet has the failure domain, and its region.
+// RegionOfDomain returns the region of a failure domain, and whether the fleet has the domain.
 func (f *Fleet) RegionOfDomain(name string) (region string, ok bool) {
 	for region, r := range f.Regions {
 		for _, domain := range r.Domains {
@@ -201,17 +201,17 @@
 	return s.Classes.Interactive
 }
 
-// AllowsRegion tells whether the service may run in a region.
+// AllowsRegion reports whether the service may run in a region.
 func (s *Service) AllowsRegion(region string) bool {
 	return allows(s.Regions, region)
 }
 
-// AllowsDomain tells whether the service may run in a failure domain.
+// AllowsDomain reports whether the service may run in a failure domain.
 func (s *Service) AllowsDomain(region, domain string) bool {
 	return allows(s.Regions, region) && allows(s.Domains, domain)
 }
 
-// AllowsVersion tells whether servers of the version may serve.
+// AllowsVersion reports whether servers of the version may serve.
 func (s *Service) AllowsVersion(version string) bool {
 	return allows(s.Versions, version)
 }
--- a/service/features/features.go
+++ b/service/features/features.go
@@ -1,7 +1,7 @@
-// Package features names the mechanisms of decision that operators can switch off, one by
-// one, in the settings. A mechanism that misbehaves is taken out so without another
-// release. All are on unless the settings say otherwise. What keeps a promise to callers or
-// backend servers is no feature and cannot be switched off.
+// Package features names the mechanisms that operators can switch off one by one in the
+// settings, so that a mechanism that misbehaves can be disabled without a release. All are
+// on by default. A mechanism that a guarantee to callers or backend servers depends on is
+// not a feature and cannot be switched off.
 package features
 
 import (
@@ -14,20 +14,20 @@
 
 // Features.
 const (
-	SpillByOccupancy   Name = "leave_by_room"   // requests leave a region short of slots
-	SpillByStall       Name = "leave_by_pace"   // and one whose running answers are slow
-	Fetch              Name = "fetch"           // cached parts are fetched from servers of the region
-	RemoteFetch        Name = "far_fetch"       // and of other regions
-	PreferredServers   Name = "hash_homes"      // prompts that share parts prefer one server
-	PoolLatencyFactor  Name = "pool_pace"       // a pace of all servers beside each server's own
-	LoadReports        Name = "digests"         // instances of a region tell each other their load
-	Ejection           Name = "set_aside"       // servers that fail a part of their requests get none
-	EjectedFallback    Name = "last_resort"     // but for requests that would be refused
-	RetryAfterPacing   Name = "comeback"        // refused callers are told times behind each other
-	LimitEventGaps     Name = "spare_pauses"    // long prompts avoid servers whose answers they would hold up
-	StartupWait        Name = "start_wait"      // requests wait for what a starting instance learns
+	SpillByOccupancy   Name = "leave_by_room"   // requests spill from a region that is short of slots
+	SpillByStall       Name = "leave_by_pace"   // requests spill from a region whose running generations are stalled
+	Fetch              Name = "fetch"           // cached prompt segments are fetched from servers of the region
+	RemoteFetch        Name = "far_fetch"       // cached prompt segments are fetched from other regions
+	PreferredServers   Name = "hash_homes"      // prompts with common segments prefer one server
+	PoolLatencyFactor  Name = "pool_pace"       // a latency factor of all servers in addition to each server's own
+	LoadReports        Name = "digests"         // instances of a region send each other load reports
+	Ejection           Name = "set_aside"       // servers that fail a fraction of their requests are ejected
+	EjectedFallback    Name = "last_resort"     // ejected servers get requests that would be refused otherwise
+	RetryAfterPacing   Name = "comeback"        // Retry-After times of refused callers are spread out one behind another
+	LimitEventGaps     Name = "spare_pauses"    // long prompts avoid servers whose running generations they would stall
+	StartupWait        Name = "start_wait"      // requests wait until a starting instance has its state
 	ConfirmLoans       Name = "ask_loans"       // a restarted instance asks all others for its loans
-	OvertakeLargeWaits Name = "pass_large_wait" // small requests pass large ones that wait for tokens
+	OvertakeLargeWaits Name = "pass_large_wait" // small requests overtake large ones that wait for tokens
 )
 
 // All returns every feature, ordered by name.
@@ -38,13 +38,13 @@
 	}
 }
 
-// Known tells whether a feature of that name exists.
+// Known reports whether a feature of that name exists.
 func Known(name Name) bool { return slices.Contains(All(), name) }
 
-// Set says which features are on. The zero value has all of them on.
+// Set holds which features are on. The zero value has all of them on.
 type Set struct{ off map[Name]bool }
 
-// NewSet returns a set with the features off that the settings say are off.
+// NewSet returns a set without the features that the settings switch off.
 func NewSet(settings map[Name]bool) Set {
 	off := make(map[Name]bool)
 	for name, on := range settings {
@@ -55,7 +55,7 @@
 	return Set{off: off}
 }
 
-// On tells whether a feature is on.
+// On reports whether a feature is on.
 func (s Set) On(name Name) bool { return !s.off[name] }
 
 // Off returns the features that are off, ordered by name.
--- a/service/features/features_test.go
+++ b/service/features/features_test.go
@@ -11,9 +11,9 @@
 		t.Errorf("off: %v", s.Off())
 	}
 	if len((Set{}).Off()) != 0 || !slices.IsSorted(All()) {
-		t.Error("all are on by default, and listed by name")
+		t.Error("a feature is off by default, or All is not ordered by name")
 	}
 	if Known("fetches") || !Known(Fetch) {
-		t.Error("a name is known or not")
+		t.Error("Known is wrong about a name")
 	}
 }
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -10,9 +10,8 @@
 	"github.com/basilroute/basilroute/yamldoc"
 )
 
-// The transcripts hold what a team sees when it checks or applies a document:
-// all findings, each with its line and column, or the document in force with its
-// defaults.
+// The transcripts in testdata hold what a team sees when it checks or applies a document:
+// all findings with line and column, or the document in force with its defaults.
 func TestParse(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -33,8 +32,8 @@
 	})
 }
 
-// An instance takes documents from the store and from peers of other versions.
-// No document may crash it, and a refused one has findings.
+// Guards against documents that crash an instance. They come from the store and from peers
+// of other versions, and an invalid one has to be rejected with findings.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"kind: fleet\nname: fleet\nregions:\n  suva-a: {domains: [suva-a-1]}\n",
@@ -50,7 +49,7 @@
 		d, err := Parse("", []byte(text))
 		var findings yamldoc.Findings
 		if err != nil && (!errors.As(err, &findings) || len(findings) == 0) {
-			t.Fatalf("not findings: %v", err)
+			t.Fatalf("the error holds no findings: %v", err)
 		}
 		if err == nil && (d.Name == "" || d.Key() == "") {
 			t.Fatalf("a document without a name: %+v", d)
