--- a/coordination/admission/estimate.go
+++ b/coordination/admission/estimate.go
@@ -28,8 +28,8 @@
 	}
 	c := q.class(t.Class)
 	count, cost := 0, t.Cost
-	if own := c.flows.byAccount[t.Account]; own != nil {
-		count, cost = len(own.tickets), own.cost+t.Cost
+	if fl := c.flows.byAccount[t.Account]; fl != nil {
+		count, cost = len(fl.tickets), fl.cost+t.Cost
 	}
 	return q.waitFor(c, c.flows.requestsAhead(t.Account, count, cost, weightOf(t)))
 }
@@ -56,11 +56,11 @@
 // takes only its own.
 func (q *Queue) drainRate(c *class) float64 {
 	if c == &q.interactive {
-		own := c.rate(min(c.running, q.capacity))
+		interactiveRate := c.rate(min(c.running, q.capacity))
 		if c.holdTime.count == 0 {
 			return 0
 		}
-		return own + q.bulk.rate(max(q.bulk.running-q.floorSlots(), 0))
+		return interactiveRate + q.bulk.rate(max(q.bulk.running-q.floorSlots(), 0))
 	}
 	return c.rate(max(min(c.running, q.capacity), q.floorSlots(), 1))
 }
--- a/coordination/admission/flows.go
+++ b/coordination/admission/flows.go
@@ -76,9 +76,9 @@
 
 // drop removes an account without waiting requests, with its deficit: no credit is
 // accumulated while nothing waits.
-func (f *flows) drop(own *flow) {
-	delete(f.byAccount, own.account)
-	i := slices.Index(f.ring, own)
+func (f *flows) drop(fl *flow) {
+	delete(f.byAccount, fl.account)
+	i := slices.Index(f.ring, fl)
 	f.ring = slices.Delete(f.ring, i, i+1)
 	if i < f.next {
 		f.next--
@@ -90,51 +90,51 @@
 
 // pop removes and returns the next ticket. There must be at least one.
 func (f *flows) pop() *Ticket {
-	lightest := f.minWeight()
+	minWeight := f.minWeight()
 	for {
 		for range len(f.ring) {
-			own := f.ring[f.next]
-			if !own.visited {
-				own.visited = true
-				own.deficit += minQuantum * own.weight / lightest
+			fl := f.ring[f.next]
+			if !fl.visited {
+				fl.visited = true
+				fl.deficit += minQuantum * fl.weight / minWeight
 			}
-			if t := own.tickets[0]; own.deficit >= t.Cost {
-				own.deficit -= t.Cost
+			if t := fl.tickets[0]; fl.deficit >= t.Cost {
+				fl.deficit -= t.Cost
 				f.remove(t)
 				return t
 			}
-			own.visited = false
+			fl.visited = false
 			f.next = (f.next + 1) % len(f.ring)
 		}
-		f.skipRounds(lightest)
+		f.skipRounds(minWeight)
 	}
 }
 
 // skipRounds adds the quanta of the rounds in which no account can start a request,
 // up to the round before the first in which one can.
-func (f *flows) skipRounds(lightest float64) {
+func (f *flows) skipRounds(minWeight float64) {
 	rounds := math.Inf(1)
-	for _, own := range f.ring {
-		quantum := minQuantum * own.weight / lightest
-		rounds = min(rounds, math.Ceil((own.tickets[0].Cost-own.deficit)/quantum))
+	for _, fl := range f.ring {
+		quantum := minQuantum * fl.weight / minWeight
+		rounds = min(rounds, math.Ceil((fl.tickets[0].Cost-fl.deficit)/quantum))
 	}
-	for _, own := range f.ring {
-		own.deficit += max(rounds-1, 0) * minQuantum * own.weight / lightest
+	for _, fl := range f.ring {
+		fl.deficit += max(rounds-1, 0) * minQuantum * fl.weight / minWeight
 	}
 }
 
 func (f *flows) minWeight() float64 {
-	lightest := math.Inf(1)
-	for _, own := range f.ring {
-		lightest = min(lightest, own.weight)
+	minWeight := math.Inf(1)
+	for _, fl := range f.ring {
+		minWeight = min(minWeight, fl.weight)
 	}
-	return lightest
+	return minWeight
 }
 
 func (f *flows) meanWeight() float64 {
 	sum := 0.0
-	for _, own := range f.ring {
-		sum += own.weight
+	for _, fl := range f.ring {
+		sum += fl.weight
 	}
 	return sum / max(float64(len(f.ring)), 1)
 }
@@ -142,9 +142,9 @@
 // longestBacklog returns the account with the largest waiting cost for its weight, or nil.
 func (f *flows) longestBacklog() *flow {
 	var longest *flow
-	for _, own := range f.ring {
-		if longest == nil || own.backlogWith(0) > longest.backlogWith(0) {
-			longest = own
+	for _, fl := range f.ring {
+		if longest == nil || fl.backlogWith(0) > longest.backlogWith(0) {
+			longest = fl
 		}
 	}
 	return longest
@@ -152,8 +152,8 @@
 
 // backlogOf returns the backlog that the ticket's account would have with the ticket.
 func (f *flows) backlogOf(t *Ticket) float64 {
-	if own := f.byAccount[t.Account]; own != nil {
-		return own.backlogWith(t.Cost)
+	if fl := f.byAccount[t.Account]; fl != nil {
+		return fl.backlogWith(t.Cost)
 	}
 	return t.Cost / weightOf(t)
 }
--- a/coordination/admission/limit.go
+++ b/coordination/admission/limit.go
@@ -54,25 +54,25 @@
 
 func newAdaptiveLimit() adaptiveLimit { return adaptiveLimit{limit: startLimit, slowStart: true} }
 
-func (w *adaptiveLimit) grow(inFlight int, ceiling float64) {
-	if float64(inFlight) < minUtilization*w.limit {
+func (l *adaptiveLimit) grow(inFlight int, ceiling float64) {
+	if float64(inFlight) < minUtilization*l.limit {
 		return
 	}
-	if w.slowStart {
-		w.limit++
+	if l.slowStart {
+		l.limit++
 	} else {
-		w.limit += 1 / w.limit
+		l.limit += 1 / l.limit
 	}
-	w.limit = min(w.limit, ceiling)
+	l.limit = min(l.limit, ceiling)
 }
 
-func (w *adaptiveLimit) shrink(now time.Time) {
-	w.slowStart = false
-	if now.Sub(w.shrunkAt) < shrinkInterval {
+func (l *adaptiveLimit) shrink(now time.Time) {
+	l.slowStart = false
+	if now.Sub(l.shrunkAt) < shrinkInterval {
 		return
 	}
-	w.shrunkAt = now
-	w.limit = max(w.limit*shrinkFactor, minLimit)
+	l.shrunkAt = now
+	l.limit = max(l.limit*shrinkFactor, minLimit)
 }
 
 // NewLimiter returns a limiter for a server without samples or reports.
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -214,13 +214,13 @@
 	}
 }
 
-func (q *Queue) classStats(of service.Class, room int) ClassStats {
+func (q *Queue) classStats(of service.Class, freeSlots int) ClassStats {
 	c := q.class(of)
-	room = max(room, 0)
+	freeSlots = max(freeSlots, 0)
 	probe := &Ticket{Request: Request{Class: of, Weight: c.flows.meanWeight()}}
 	return ClassStats{
-		Waiting: c.flows.count, FreeSlots: room, ExpectedWait: q.expectedWait(probe),
-		AcceptsRemote: c.flows.count == 0 && room > 0 && room*remoteReserveDivisor >= q.capacity,
+		Waiting: c.flows.count, FreeSlots: freeSlots, ExpectedWait: q.expectedWait(probe),
+		AcceptsRemote: c.flows.count == 0 && freeSlots > 0 && freeSlots*remoteReserveDivisor >= q.capacity,
 	}
 }
 
@@ -323,8 +323,8 @@
 	q.recentMax = max(q.recentMax, float64(q.interactive.running+q.interactive.flows.count))
 }
 
-// displace makes room in the queue by refusing a request of the account that has the
-// largest backlog for its weight. Without it an account far beyond its share would fill
+// displace makes room in the queue by refusing the newest request of the account that has
+// the largest backlog for its weight. Interactive requests displace bulk first. Without it an account far beyond its share would fill
 // the queue, and accounts within their shares would be refused. It reports whether
 // there is room.
 func (q *Queue) displace(t *Ticket) bool {
--- a/coordination/admission/queue_test.go
+++ b/coordination/admission/queue_test.go
@@ -24,48 +24,48 @@
 }
 
 func newQueueHarness(capacity int, hold time.Duration) *queueHarness {
-	b := &queueHarness{queue: NewQueue(Settings{}), now: start, hold: hold, started: make(map[string]int)}
-	b.queue.Configure(Settings{Queue: 1024, BulkFloor: 0.1}, capacity, capacity, b.now)
-	return b
+	h := &queueHarness{queue: NewQueue(Settings{}), now: start, hold: hold, started: make(map[string]int)}
+	h.queue.Configure(Settings{Queue: 1024, BulkFloor: 0.1}, capacity, capacity, h.now)
+	return h
 }
 
-func (b *queueHarness) submit(account string, class service.Class, wait time.Duration) *Ticket {
-	return b.queue.Submit(Request{
-		Account: account, Weight: 1, Class: class, Cost: 100, StartBy: b.now.Add(wait),
+func (h *queueHarness) submit(account string, class service.Class, wait time.Duration) *Ticket {
+	return h.queue.Submit(Request{
+		Account: account, Weight: 1, Class: class, Cost: 100, StartBy: h.now.Add(wait),
 		OnSettle: func(t *Ticket) {
 			if t.Granted() {
-				b.running = append(b.running, t)
-				b.started[t.Account]++
+				h.running = append(h.running, t)
+				h.started[t.Account]++
 			}
 		},
-	}, b.now)
+	}, h.now)
 }
 
 // advance moves the time forward and releases the slots of requests that have ended.
-func (b *queueHarness) advance(d time.Duration) {
-	until := b.now.Add(d)
-	for len(b.running) > 0 && !b.running[0].grantedAt.Add(b.hold).After(until) {
-		t := b.running[0]
-		b.running = b.running[1:]
-		b.now = t.grantedAt.Add(b.hold)
-		b.queue.Release(t, b.now)
+func (h *queueHarness) advance(d time.Duration) {
+	until := h.now.Add(d)
+	for len(h.running) > 0 && !h.running[0].grantedAt.Add(h.hold).After(until) {
+		t := h.running[0]
+		h.running = h.running[1:]
+		h.now = t.grantedAt.Add(h.hold)
+		h.queue.Release(t, h.now)
 	}
-	b.now = until
+	h.now = until
 }
 
 // Guards against an account that sends ten times as many requests as another through the
 // same instance and delays that one. The slots are busy, and the queue has to serve the
 // accounts in turn, so that the larger one delays only itself.
 func TestHeavyAccountDelaysOnlyItself(t *testing.T) {
-	b := newQueueHarness(4, 100*time.Millisecond)
+	h := newQueueHarness(4, 100*time.Millisecond)
 	for range 100 {
 		for range 10 {
-			b.submit("heavy", service.ClassInteractive, time.Hour)
+			h.submit("heavy", service.ClassInteractive, time.Hour)
 		}
-		b.submit("small", service.ClassInteractive, time.Hour)
-		b.advance(100 * time.Millisecond)
+		h.submit("small", service.ClassInteractive, time.Hour)
+		h.advance(100 * time.Millisecond)
 	}
-	if got := b.started["small"]; got < 97 {
+	if got := h.started["small"]; got < 97 {
 		t.Errorf("the small account started %d of 100 requests, its share allows 200", got)
 	}
 }
@@ -74,25 +74,25 @@
 // many requests are ahead, has to be refused at once with a Retry-After. A retry after that
 // time has to start within the limit.
 func TestRefusalHasAccurateRetryAfter(t *testing.T) {
-	b := newQueueHarness(2, 100*time.Millisecond)
+	h := newQueueHarness(2, 100*time.Millisecond)
 	for range 8 {
-		b.submit("a", service.ClassInteractive, time.Second)
-		b.advance(50 * time.Millisecond)
+		h.submit("a", service.ClassInteractive, time.Second)
+		h.advance(50 * time.Millisecond)
 	}
 	for range 40 {
-		b.submit("a", service.ClassInteractive, time.Hour)
+		h.submit("a", service.ClassInteractive, time.Hour)
 	}
 	limit := 200 * time.Millisecond
-	refused := b.submit("a", service.ClassInteractive, limit)
+	refused := h.submit("a", service.ClassInteractive, limit)
 	if refused.Refusal == nil {
 		t.Fatal("a request with 40 ahead of it and a limit of 200 ms was queued")
 	}
 	if refused.Refusal.Run != refusal.NotRun || refused.Refusal.Code != refusal.CodeOverloaded {
 		t.Errorf("refused with %v", refused.Refusal)
 	}
-	b.advance(refused.Refusal.RetryAfter)
-	again := b.submit("a", service.ClassInteractive, limit)
-	b.advance(limit)
+	h.advance(refused.Refusal.RetryAfter)
+	again := h.submit("a", service.ClassInteractive, limit)
+	h.advance(limit)
 	if !again.Granted() {
 		t.Errorf("a retry after %s did not start: %v", refused.Refusal.RetryAfter, again.Refusal)
 	}
@@ -102,25 +102,25 @@
 // continue while interactive requests saturate it: bulk leaves slots for the recent maximum
 // of interactive requests, and keeps its floor.
 func TestClassesLeaveEachOtherSlots(t *testing.T) {
-	b := newQueueHarness(40, time.Second)
+	h := newQueueHarness(40, time.Second)
 	for range 5 {
-		b.submit("m", service.ClassInteractive, time.Second)
+		h.submit("m", service.ClassInteractive, time.Second)
 	}
-	b.advance(2 * time.Second)
+	h.advance(2 * time.Second)
 	for range 200 {
-		b.submit("review", service.ClassBulk, time.Hour)
+		h.submit("review", service.ClassBulk, time.Hour)
 	}
-	if got := b.queue.bulk.running; got < 20 || got > 40-5 {
+	if got := h.queue.bulk.running; got < 20 || got > 40-5 {
 		t.Errorf("bulk takes %d of 40 slots, after at most 5 interactive requests at once", got)
 	}
-	if question := b.submit("m", service.ClassInteractive, time.Second); !question.Granted() {
+	if question := h.submit("m", service.ClassInteractive, time.Second); !question.Granted() {
 		t.Error("an interactive request waits behind bulk")
 	}
 	for range 200 {
-		b.submit("m", service.ClassInteractive, time.Hour)
+		h.submit("m", service.ClassInteractive, time.Hour)
 	}
-	b.advance(3 * time.Second)
-	if got := b.queue.bulk.running; got < 4 {
+	h.advance(3 * time.Second)
+	if got := h.queue.bulk.running; got < 4 {
 		t.Errorf("bulk runs %d requests, its floor is 4 of 40", got)
 	}
 }
@@ -128,21 +128,21 @@
 // Guards against refusals of an account within its share when another one has filled the
 // queue. Instead, the newest request of the account with the largest backlog is refused.
 func TestFullQueueRefusesTheLargestBacklog(t *testing.T) {
-	b := newQueueHarness(1, time.Second)
-	b.queue.Configure(Settings{Queue: 10}, 1, 1, b.now)
-	b.submit("heavy", service.ClassInteractive, time.Hour)
+	h := newQueueHarness(1, time.Second)
+	h.queue.Configure(Settings{Queue: 10}, 1, 1, h.now)
+	h.submit("heavy", service.ClassInteractive, time.Hour)
 	var last *Ticket
 	for range 10 {
-		last = b.submit("heavy", service.ClassInteractive, time.Hour)
+		last = h.submit("heavy", service.ClassInteractive, time.Hour)
 	}
-	small := b.submit("small", service.ClassInteractive, time.Hour)
+	small := h.submit("small", service.ClassInteractive, time.Hour)
 	if small.Refusal != nil {
 		t.Errorf("the small account was refused: %v", small.Refusal)
 	}
 	if last.Refusal == nil || last.Refusal.Run != refusal.NotRun {
 		t.Errorf("the newest request of the heavy account was not refused")
 	}
-	if more := b.submit("heavy", service.ClassInteractive, time.Hour); more.Refusal == nil {
+	if more := h.submit("heavy", service.ClassInteractive, time.Hour); more.Refusal == nil {
 		t.Error("the queue took more than its bound")
 	}
 }
@@ -151,17 +151,17 @@
 // of ten slots are lost, and with them the drain rate: of 80 requests that wait for a
 // second at most, about ten can still start, and the others are refused at once.
 func TestShedWhenSlotsAreLost(t *testing.T) {
-	b := newQueueHarness(10, 100*time.Millisecond)
+	h := newQueueHarness(10, 100*time.Millisecond)
 	for range 40 {
-		b.submit("a", service.ClassInteractive, time.Second)
-		b.advance(10 * time.Millisecond)
+		h.submit("a", service.ClassInteractive, time.Second)
+		h.advance(10 * time.Millisecond)
 	}
 	for range 80 {
-		b.submit("a", service.ClassInteractive, time.Second)
+		h.submit("a", service.ClassInteractive, time.Second)
 	}
-	b.queue.Configure(Settings{Queue: 1024}, 1, 1, b.now)
-	b.queue.Shed(b.now)
-	if got := b.queue.waiting(); got < 8 || got > 16 {
+	h.queue.Configure(Settings{Queue: 1024}, 1, 1, h.now)
+	h.queue.Shed(h.now)
+	if got := h.queue.waiting(); got < 8 || got > 16 {
 		t.Errorf("%d still wait, about 10 to 15 can start", got)
 	}
 }
@@ -170,17 +170,17 @@
 // no interactive request waits while a slot is free, and a cancelled one holds no slot.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newQueueHarness(rapid.IntRange(0, 8).Draw(t, "capacity"), time.Hour)
+		h := newQueueHarness(rapid.IntRange(0, 8).Draw(t, "capacity"), time.Hour)
 		settled := make(map[*Ticket]int)
 		var all []*Ticket
 		submit := func() {
 			class := rapid.SampledFrom([]service.Class{service.ClassInteractive, service.ClassBulk}).Draw(t, "class")
-			all = append(all, b.queue.Submit(Request{
+			all = append(all, h.queue.Submit(Request{
 				Account: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "account")), Class: class,
 				Weight: rapid.Float64Range(0, 100).Draw(t, "weight"), Cost: rapid.Float64Range(0, 5000).Draw(t, "cost"),
-				StartBy:  b.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond),
+				StartBy:  h.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond),
 				OnSettle: func(k *Ticket) { settled[k]++ },
-			}, b.now))
+			}, h.now))
 		}
 		pick := func() *Ticket { return rapid.SampledFrom(all).Draw(t, "ticket") }
 		released := make(map[*Ticket]bool)
@@ -192,26 +192,26 @@
 			case step == 1:
 				if k := pick(); k.Granted() && !released[k] {
 					released[k] = true
-					b.queue.Release(k, b.now)
+					h.queue.Release(k, h.now)
 				}
 			case step == 2:
-				if k := pick(); b.queue.Cancel(k, b.now) && k.Refusal == nil {
+				if k := pick(); h.queue.Cancel(k, h.now) && k.Refusal == nil {
 					t.Fatal("cancelled without a refusal")
 				}
 			case step == 3:
-				b.now = b.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pass")) * time.Millisecond)
+				h.now = h.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pass")) * time.Millisecond)
 			case step == 4:
-				b.queue.Shed(b.now)
+				h.queue.Shed(h.now)
 			default:
 				slots := rapid.IntRange(0, 8).Draw(t, "slots")
-				b.queue.Configure(Settings{Queue: 5, BulkFloor: 0.1}, slots, slots, b.now)
+				h.queue.Configure(Settings{Queue: 5, BulkFloor: 0.1}, slots, slots, h.now)
 			}
-			checkInvariants(t, b, all, settled, released)
+			checkInvariants(t, h, all, settled, released)
 		}
 	})
 }
 
-func checkInvariants(t *rapid.T, b *queueHarness, all []*Ticket, settled map[*Ticket]int, released map[*Ticket]bool) {
+func checkInvariants(t *rapid.T, h *queueHarness, all []*Ticket, settled map[*Ticket]int, released map[*Ticket]bool) {
 	running, waiting := 0, 0
 	for _, k := range all {
 		switch {
@@ -232,10 +232,10 @@
 			t.Fatalf("settled %d times, want %d", settled[k], want)
 		}
 	}
-	if running != b.queue.running() || waiting != b.queue.waiting() {
-		t.Fatalf("counts: running %d, %d; waiting %d, %d", running, b.queue.running(), waiting, b.queue.waiting())
+	if running != h.queue.running() || waiting != h.queue.waiting() {
+		t.Fatalf("counts: running %d, %d; waiting %d, %d", running, h.queue.running(), waiting, h.queue.waiting())
 	}
-	if b.queue.interactive.flows.count > 0 && running < b.queue.capacity {
+	if h.queue.interactive.flows.count > 0 && running < h.queue.capacity {
 		t.Fatal("an interactive request waits while a slot is free")
 	}
 }
--- a/coordination/quota/account.go
+++ b/coordination/quota/account.go
@@ -92,6 +92,7 @@
 	a.history.note(a.headroom(minting))
 }
 
+// charge debits a request from loans and the bucket, or fails if they have too few tokens.
 func (a *account) charge(tokens float64, now time.Time, minting int) (Charge, bool) {
 	if a.level+a.borrowed(now) < tokens {
 		return Charge{}, false
@@ -142,6 +143,7 @@
 	a.apply(minting)
 }
 
+// apply recomputes the slot quota from the document and the share.
 func (a *account) apply(minting int) {
 	a.perSlot = slotQuota{rate: a.doc.Rate * a.share, burst: a.doc.Burst * a.share}
 	if a.provisional && a.lends {
--- a/coordination/quota/borrower.go
+++ b/coordination/quota/borrower.go
@@ -222,12 +222,12 @@
 	if p.now.Before(a.nextBorrow) {
 		return
 	}
-	have := a.level + a.borrowed(p.now)
+	available := a.level + a.borrowed(p.now)
 	queued, ahead := a.queuedTokens(), a.aheadDemand(minting)
-	if have >= queued+ahead*lowWater {
+	if available >= queued+ahead*lowWater {
 		return
 	}
-	a.requestLoans(queued+ahead-have, p)
+	a.requestLoans(queued+ahead-available, p)
 }
 
 // aheadDemand returns the tokens to borrow ahead, beyond what is minted here.
--- a/coordination/quota/bound_test.go
+++ b/coordination/quota/bound_test.go
@@ -163,7 +163,7 @@
 	select {
 	case v := <-w.Done:
 		if !v.OK {
-			t.Error("refused though the loan came")
+			t.Error("refused although the loan arrived")
 		}
 	default:
 		t.Error("still waiting")
--- a/coordination/quota/lender.go
+++ b/coordination/quota/lender.go
@@ -91,9 +91,9 @@
 	}
 	a.mint(now, s.minting)
 	a.history.note(a.headroom(s.minting))
-	if open := a.openLoan(r.LoanID); open != nil {
-		a.lent -= open.reduce(r.Spent)
-		back := open.reduce(r.Returned)
+	if loan := a.openLoan(r.LoanID); loan != nil {
+		a.lent -= loan.reduce(r.Spent)
+		back := loan.reduce(r.Returned)
 		a.lent -= back
 		a.level += back
 		a.clamp(s.minting) // the slot that minted them may no longer be held
--- a/coordination/quota/restart_test.go
+++ b/coordination/quota/restart_test.go
@@ -19,57 +19,57 @@
 
 func newRestartSimulation(seed uint64) *restartSimulation {
 	doc := &service.Account{Name: "acme", Rate: 100, Burst: 400}
-	w := &restartSimulation{simulation: newSimulation(seed, 0, doc), started: make(map[*testInstance]time.Time)}
+	sim := &restartSimulation{simulation: newSimulation(seed, 0, doc), started: make(map[*testInstance]time.Time)}
 	var domains []string
 	for i := range restartInstances {
 		domains = append(domains, domainName(i))
 	}
-	w.fleet = &service.Fleet{Regions: map[string]service.Region{"r": {Domains: domains}}, Slots: service.Slots{PerDomain: 1}}
-	w.slots = nil
+	sim.fleet = &service.Fleet{Regions: map[string]service.Region{"r": {Domains: domains}}, Slots: service.Slots{PerDomain: 1}}
+	sim.slots = nil
 	for i := range restartInstances {
-		w.instances = append(w.instances, nil)
-		w.slots = append(w.slots, &simSlot{domain: i, epoch: 1})
-		w.restart(i)
-		delete(w.started, w.instances[i]) // nothing was lent before the first start
-		w.instances[i].ledger.SetProvisional(false, w.instances[i].clock(0))
+		sim.instances = append(sim.instances, nil)
+		sim.slots = append(sim.slots, &simSlot{domain: i, epoch: 1})
+		sim.restart(i)
+		delete(sim.started, sim.instances[i]) // nothing was lent before the first start
+		sim.instances[i].ledger.SetProvisional(false, sim.instances[i].clock(0))
 	}
-	return w
+	return sim
 }
 
 // restart replaces an instance by a new incarnation with the same share and no state.
-func (w *restartSimulation) restart(i int) {
-	n := w.newInstance(i)
+func (sim *restartSimulation) restart(i int) {
+	n := sim.newInstance(i)
 	n.ledger = New(domainName(i))
-	now := n.clock(w.now)
+	now := n.clock(sim.now)
 	n.ledger.SetProvisional(true, now)
-	w.deliver(n, w.doc, 1)
+	sim.deliver(n, sim.doc, 1)
 	n.ledger.SetHeldSlots([]slots.HeldSlot{{Slot: 0, Epoch: 1, Until: now.Add(time.Hour)}}, now)
-	if old := w.instances[i]; old != nil {
+	if old := sim.instances[i]; old != nil {
 		n.id.ID = old.id.ID
-		delete(w.started, old)
+		delete(sim.started, old)
 	}
-	w.instances[i], w.slots[i].holder = n, n
-	w.started[n] = now
+	sim.instances[i], sim.slots[i].holder = n, n
+	sim.started[n] = now
 }
 
 // clear ends the provisional state of an instance when no other one holds or may
 // still receive a loan of its earlier incarnation, or when all such loans have expired.
-func (w *restartSimulation) clear() {
-	for n, started := range w.started {
-		now := n.clock(w.now)
+func (sim *restartSimulation) clear() {
+	for n, started := range sim.started {
+		now := n.clock(sim.now)
 		owes := false
-		for _, other := range w.instances {
+		for _, other := range sim.instances {
 			if other == n {
 				continue
 			}
-			owes = owes || other.ledger.Owes(n.id.ID, other.clock(w.now))
+			owes = owes || other.ledger.Owes(n.id.ID, other.clock(sim.now))
 			for lender, open := range other.openCalls {
 				owes = owes || open && lender.ID == n.id.ID && lender != n.id
 			}
 		}
 		if !owes || !now.Before(LoanExpiry(started)) {
 			n.ledger.SetProvisional(false, now)
-			delete(w.started, n)
+			delete(sim.started, n)
 		}
 	}
 }
@@ -81,33 +81,33 @@
 func TestRestartsKeepTheBound(t *testing.T) {
 	served := 0.0
 	for seed := range uint64(40) {
-		w := newRestartSimulation(seed)
-		w.lossRate, w.lateRate = 0.1, 0.1
-		w.run(60*time.Second, func() {
-			w.clear()
-			if w.rng.IntN(120) == 0 {
-				for i := range w.instances {
-					if w.rng.IntN(2) == 0 {
-						w.restart(i)
+		sim := newRestartSimulation(seed)
+		sim.lossRate, sim.lateRate = 0.1, 0.1
+		sim.run(60*time.Second, func() {
+			sim.clear()
+			if sim.rng.IntN(120) == 0 {
+				for i := range sim.instances {
+					if sim.rng.IntN(2) == 0 {
+						sim.restart(i)
 					}
 				}
 			}
 			// Most of the demand is at one instance; the others lend.
-			at := w.instances[0]
-			if w.rng.IntN(5) == 0 {
-				at = w.instances[w.rng.IntN(restartInstances)]
+			at := sim.instances[0]
+			if sim.rng.IntN(5) == 0 {
+				at = sim.instances[sim.rng.IntN(restartInstances)]
 			}
-			tokens := float64(1 + w.rng.IntN(30))
-			w.request(at, tokens, tokens, 0)
+			tokens := float64(1 + sim.rng.IntN(30))
+			sim.request(at, tokens, tokens, 0)
 		})
-		if over := w.overshoot(w.doc.Rate, w.doc.Burst); over > 1e-6 {
+		if over := sim.overshoot(sim.doc.Rate, sim.doc.Burst); over > 1e-6 {
 			t.Errorf("seed %d: %.1f tokens beyond rate and burst", seed, over)
 		}
-		for _, a := range w.admitted {
+		for _, a := range sim.admitted {
 			served += a.tokens
 		}
 	}
-	// A bound that is kept by serving little is worth nothing.
+	// The bound must not be kept by refusing most of the requests.
 	if part := served / (40 * 60 * 100); part < 0.5 {
 		t.Errorf("%.2f of the rate was served", part)
 	}
--- a/coordination/quotashare/loans_test.go
+++ b/coordination/quotashare/loans_test.go
@@ -171,7 +171,7 @@
 		calls[size] = float64(f.calls) / float64(f.requests)
 		t.Logf("%d instances: %d requests, %.2f calls each, %d refused", size, f.requests, calls[size], f.refused)
 		if f.refused > f.requests/100 {
-			t.Errorf("%d instances: %d of %d requests refused, though the accounts keep to their rates", size, f.refused, f.requests)
+			t.Errorf("%d instances: %d of %d requests refused although the accounts keep to their rates", size, f.refused, f.requests)
 		}
 	}
 	if calls[192] > 1.1*calls[48] {
@@ -186,6 +186,6 @@
 	f.run(lasts)
 	t.Logf("%d requests, %.2f calls each, %d refused", f.requests, float64(f.calls)/float64(f.requests), f.refused)
 	if f.refused > f.requests/100 {
-		t.Errorf("%d of %d requests refused, though the accounts keep to their rates", f.refused, f.requests)
+		t.Errorf("%d of %d requests refused although the accounts keep to their rates", f.refused, f.requests)
 	}
 }
--- a/coordination/quotashare/quotashare.go
+++ b/coordination/quotashare/quotashare.go
@@ -83,83 +83,83 @@
 // Merge adds instances to the set. complete says that holders contains every instance that
 // mints: it was read from the store after this instance's id was written, or received from
 // a peer whose set is complete and contains this instance.
-func (k *HolderSet) Merge(holders []Holder, complete bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *HolderSet) Merge(holders []Holder, complete bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, h := range holders {
-		if h.ID == "" || k.has(h.ID) {
+		if h.ID == "" || s.has(h.ID) {
 			continue // the failure domain of an instance never changes
 		}
-		k.holders[h.ID] = h.Domain
-		k.hash ^= h.hash()
-		clear(k.acks) // these reports were for a smaller set
+		s.holders[h.ID] = h.Domain
+		s.hash ^= h.hash()
+		clear(s.acks) // these reports were for a smaller set
 	}
-	if complete && k.has(k.self) {
-		k.complete = true
+	if complete && s.has(s.self) {
+		s.complete = true
 	}
 }
 
-func (k *HolderSet) has(id string) bool {
-	_, ok := k.holders[id]
+func (s *HolderSet) has(id string) bool {
+	_, ok := s.holders[id]
 	return ok
 }
 
 // RecordMinted records that according to the store this instance has minted. Once this
 // incarnation has begun to mint, or after RecordNeverMinted, it has no effect: the record
 // may then be of this incarnation and proves no earlier one.
-func (k *HolderSet) RecordMinted() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.established || k.neverMinted {
+func (s *HolderSet) RecordMinted() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.established || s.neverMinted {
 		return
 	}
-	k.established, k.mintedBefore = true, true
+	s.established, s.mintedBefore = true, true
 }
 
 // RecordNeverMinted records that according to the store this instance has never minted. It
 // then begins to mint so late that loans have expired even of an earlier incarnation whose
 // record was lost on the way to the store.
-func (k *HolderSet) RecordNeverMinted() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.cleared, k.neverMinted = true, true
+func (s *HolderSet) RecordNeverMinted() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cleared, s.neverMinted = true, true
 }
 
 // NoEarlierMint reports whether no earlier incarnation of this instance has minted. Others may
 // then have lent tokens of what is its share now.
-func (k *HolderSet) NoEarlierMint() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return !k.mintedBefore
+func (s *HolderSet) NoEarlierMint() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.mintedBefore
 }
 
 // ApplyReport applies another instance's report about its set.
-func (k *HolderSet) ApplyReport(id string, w Report) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.agreementHashes[id] = w.AgreementHash
-	if w.Hash == k.hash && k.has(k.self) {
-		k.acks[id] = w.Incarnation
+func (s *HolderSet) ApplyReport(id string, w Report) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.agreementHashes[id] = w.AgreementHash
+	if w.Hash == s.hash && s.has(s.self) {
+		s.acks[id] = w.Incarnation
 	}
 }
 
 // AgreementHash returns a hash of the set and of the incarnations in which all its instances,
 // including this one, reported it; 0 while a report is missing.
-func (k *HolderSet) AgreementHash() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.agreementHash()
+func (s *HolderSet) AgreementHash() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.agreementHash()
 }
 
-func (k *HolderSet) agreementHash() uint64 {
-	if !k.has(k.self) {
+func (s *HolderSet) agreementHash() uint64 {
+	if !s.has(s.self) {
 		return 0
 	}
-	sum := k.hash
-	for id := range k.holders {
-		incarnation, known := k.acks[id]
-		if id == k.self {
-			incarnation, known = k.incarnation, true
+	sum := s.hash
+	for id := range s.holders {
+		incarnation, known := s.acks[id]
+		if id == s.self {
+			incarnation, known = s.incarnation, true
 		}
 		if !known {
 			return 0
@@ -179,107 +179,107 @@
 
 // ConfirmNoLoans records that another instance holds no loan of an earlier incarnation of this
 // one.
-func (k *HolderSet) ConfirmNoLoans(id string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.noLoans[id] = true
+func (s *HolderSet) ConfirmNoLoans(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.noLoans[id] = true
 }
 
 // TryClear sets Cleared if it has become certain that no loan of an earlier incarnation can be
 // spent any more: all have expired, or every instance of the set has confirmed that it holds
 // none. It reports whether it did so in this call. An incomplete set proves nothing: a missing
 // instance may hold a loan, which could then be spent beside the whole share.
-func (k *HolderSet) TryClear(expired bool) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.cleared || !expired && !k.noneOwesLoans() {
+func (s *HolderSet) TryClear(expired bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cleared || !expired && !s.noneOwesLoans() {
 		return false
 	}
-	k.cleared = true
+	s.cleared = true
 	return true
 }
 
 // Unconfirmed returns the instances of the set that have not yet confirmed that they hold no
 // loan of an earlier incarnation; none once that is cleared.
-func (k *HolderSet) Unconfirmed() []string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *HolderSet) Unconfirmed() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []string
-	for id := range k.holders {
-		if !k.cleared && id != k.self && !k.noLoans[id] {
+	for id := range s.holders {
+		if !s.cleared && id != s.self && !s.noLoans[id] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func (k *HolderSet) noneOwesLoans() bool {
-	for id := range k.holders {
-		if id != k.self && !k.noLoans[id] {
+func (s *HolderSet) noneOwesLoans() bool {
+	for id := range s.holders {
+		if id != s.self && !s.noLoans[id] {
 			return false
 		}
 	}
-	return k.complete
+	return s.complete
 }
 
 // Cleared reports whether it is certain that no loan of an earlier incarnation can be spent.
-func (k *HolderSet) Cleared() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.cleared
+func (s *HolderSet) Cleared() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.cleared
 }
 
 // Hash returns a hash of the set; 0 if it is empty.
-func (k *HolderSet) Hash() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.hash
+func (s *HolderSet) Hash() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.hash
 }
 
 // Complete reports whether the set contains every instance that mints.
-func (k *HolderSet) Complete() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.complete
+func (s *HolderSet) Complete() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.complete
 }
 
 // Holders returns the instances of the set, sorted by id.
-func (k *HolderSet) Holders() []Holder {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := make([]Holder, 0, len(k.holders))
-	for _, id := range slices.Sorted(maps.Keys(k.holders)) {
-		out = append(out, Holder{ID: id, Domain: k.holders[id]})
+func (s *HolderSet) Holders() []Holder {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]Holder, 0, len(s.holders))
+	for _, id := range slices.Sorted(maps.Keys(s.holders)) {
+		out = append(out, Holder{ID: id, Domain: s.holders[id]})
 	}
 	return out
 }
 
 // Size returns the number of instances in the set.
-func (k *HolderSet) Size() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.holders)
+func (s *HolderSet) Size() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.holders)
 }
 
 // Mints reports whether this instance may mint its share.
-func (k *HolderSet) Mints() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.complete || !k.has(k.self) {
+func (s *HolderSet) Mints() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.complete || !s.has(s.self) {
 		return false
 	}
-	if k.established {
+	if s.established {
 		return true
 	}
-	hash := k.agreementHash()
+	hash := s.agreementHash()
 	if hash == 0 {
 		return false
 	}
-	for id := range k.holders {
-		if id != k.self && k.agreementHashes[id] != hash {
+	for id := range s.holders {
+		if id != s.self && s.agreementHashes[id] != hash {
 			return false
 		}
 	}
-	k.established = true
+	s.established = true
 	return true
 }
--- a/coordination/quotashare/quotashare_test.go
+++ b/coordination/quotashare/quotashare_test.go
@@ -37,45 +37,45 @@
 }
 
 func newSimulation(ids ...string) *simulation {
-	w := &simulation{minted: make(map[string]bool), sets: make(map[string]*HolderSet), joinStage: make(map[string]int)}
+	sim := &simulation{minted: make(map[string]bool), sets: make(map[string]*HolderSet), joinStage: make(map[string]int)}
 	for _, id := range ids {
-		w.start(id)
+		sim.start(id)
 	}
-	return w
+	return sim
 }
 
 // start begins a new incarnation of an instance, without the state of the one before.
-func (w *simulation) start(id string) {
-	w.incarnations++
-	w.sets[id], w.joinStage[id] = NewHolderSet(id, w.incarnations), 0
+func (sim *simulation) start(id string) {
+	sim.incarnations++
+	sim.sets[id], sim.joinStage[id] = NewHolderSet(id, sim.incarnations), 0
 }
 
-func (w *simulation) write(id string) {
-	if w.joinStage[id] == 0 {
-		for _, name := range w.stored {
+func (sim *simulation) write(id string) {
+	if sim.joinStage[id] == 0 {
+		for _, name := range sim.stored {
 			if name.ID == id {
-				w.joinStage[id] = 1
+				sim.joinStage[id] = 1
 				return
 			}
 		}
-		w.stored = append(w.stored, Holder{id, domainOf(id)})
-		w.joinStage[id] = 1
+		sim.stored = append(sim.stored, Holder{id, domainOf(id)})
+		sim.joinStage[id] = 1
 	}
 }
 
-func (w *simulation) read(id string) {
-	if w.joinStage[id] == 1 {
-		if w.minted[id] {
-			w.sets[id].RecordMinted()
+func (sim *simulation) read(id string) {
+	if sim.joinStage[id] == 1 {
+		if sim.minted[id] {
+			sim.sets[id].RecordMinted()
 		}
-		w.sets[id].Merge(w.stored, true)
-		w.joinStage[id] = 2
+		sim.sets[id].Merge(sim.stored, true)
+		sim.joinStage[id] = 2
 	}
 }
 
 // exchange lets one instance query another and apply the response, as instances do.
-func (w *simulation) exchange(from, to string) {
-	a, b := w.sets[from], w.sets[to]
+func (sim *simulation) exchange(from, to string) {
+	a, b := sim.sets[from], sim.sets[to]
 	if a.Hash() != b.Hash() {
 		listed := false
 		for _, h := range b.Holders() {
@@ -87,70 +87,70 @@
 }
 
 // exchangeBothWays lets two instances receive each other's sets and reports.
-func (w *simulation) exchangeBothWays(from, to string) {
-	w.exchange(from, to)
-	w.exchange(to, from)
-	w.exchange(from, to)
+func (sim *simulation) exchangeBothWays(from, to string) {
+	sim.exchange(from, to)
+	sim.exchange(to, from)
+	sim.exchange(from, to)
 }
 
 // exchangeAll repeats exchanges between all pairs of instances, until each has received the
 // agreement hash of every other.
-func (w *simulation) exchangeAll(ids ...string) {
+func (sim *simulation) exchangeAll(ids ...string) {
 	for range 3 {
 		for i, from := range ids {
 			for _, to := range ids[i+1:] {
-				w.exchangeBothWays(from, to)
+				sim.exchangeBothWays(from, to)
 			}
 		}
 	}
 }
 
-func (k *HolderSet) report() Report {
-	return Report{Incarnation: k.incarnation, Hash: k.Hash(), AgreementHash: k.AgreementHash()}
+func (s *HolderSet) report() Report {
+	return Report{Incarnation: s.incarnation, Hash: s.Hash(), AgreementHash: s.AgreementHash()}
 }
 
 // Guards against shares of all minting instances that exceed the whole, in any order of joins, restarts, outages and reports.
 func TestPartsNeverExceedTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation()
+		sim := newSimulation()
 		var ids []string
 		for i := range rapid.IntRange(1, 12).Draw(t, "instances") {
 			id := fmt.Sprint("i", i)
 			ids = append(ids, id)
-			w.start(id)
+			sim.start(id)
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			id := rapid.SampledFrom(ids).Draw(t, "instance")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				w.write(id)
+				sim.write(id)
 			case 1:
-				w.read(id)
+				sim.read(id)
 			case 2, 3:
-				w.exchange(id, rapid.SampledFrom(ids).Draw(t, "peer"))
+				sim.exchange(id, rapid.SampledFrom(ids).Draw(t, "peer"))
 			case 4:
-				if w.sets[id].Mints() {
-					w.minted[id] = true
+				if sim.sets[id].Mints() {
+					sim.minted[id] = true
 				}
 			case 5:
-				w.start(id)
+				sim.start(id)
 			}
-			checkShares(t, w)
+			checkShares(t, sim)
 		}
 	})
 }
 
-func checkShares(t rapid.TB, w *simulation) {
+func checkShares(t rapid.TB, sim *simulation) {
 	t.Helper()
 	var minting []string
-	for id, k := range w.sets {
+	for id, k := range sim.sets {
 		if k.Mints() {
 			minting = append(minting, id)
 		}
 	}
 	total := make(map[string]float64)
 	for _, id := range minting {
-		k := w.sets[id]
+		k := sim.sets[id]
 		for _, other := range minting {
 			if !k.has(other) {
 				t.Fatalf("the set of %s lacks %s, which mints", id, other)
@@ -178,12 +178,12 @@
 	if !k.Mints() {
 		t.Error("a restarted instance waits for a lost one")
 	}
-	joins := NewHolderSet("c", 1)
-	joins.Merge(holders("a", "b", "c", "gone"), true)
+	joining := NewHolderSet("c", 1)
+	joining.Merge(holders("a", "b", "c", "gone"), true)
 	for _, id := range []string{"a", "b"} {
-		joins.ApplyReport(id, joins.report())
+		joining.ApplyReport(id, joining.report())
 	}
-	if joins.Mints() {
+	if joining.Mints() {
 		t.Error("a joining instance mints although one that may be partitioned has not reported the set")
 	}
 }
@@ -223,29 +223,29 @@
 // in the set of the joining instance. That set lacks the third one: if it counted as
 // complete, the two would mint a half each beside the third one's share.
 func TestSetOfAnIncompletePeerIsNotComplete(t *testing.T) {
-	w := newSimulation("a", "b", "third", "newcomer")
+	sim := newSimulation("a", "b", "third", "newcomer")
 	for _, id := range []string{"a", "b"} {
-		w.write(id)
+		sim.write(id)
 	}
-	w.read("a")
-	w.read("b")
-	w.exchangeBothWays("a", "b")
-	w.exchangeBothWays("newcomer", "a")
-	w.write("third")
-	w.read("third")
-	w.exchangeAll("a", "b", "third")
-	if !w.sets["third"].Mints() {
+	sim.read("a")
+	sim.read("b")
+	sim.exchangeBothWays("a", "b")
+	sim.exchangeBothWays("newcomer", "a")
+	sim.write("third")
+	sim.read("third")
+	sim.exchangeAll("a", "b", "third")
+	if !sim.sets["third"].Mints() {
 		t.Fatal("the third instance does not mint although all others have it in their sets")
 	}
 	for _, id := range []string{"a", "b"} {
-		w.start(id)
+		sim.start(id)
 	}
-	w.exchangeBothWays("a", "newcomer")
-	w.exchangeBothWays("b", "newcomer")
-	w.exchangeBothWays("a", "b")
+	sim.exchangeBothWays("a", "newcomer")
+	sim.exchangeBothWays("b", "newcomer")
+	sim.exchangeBothWays("a", "b")
 	for _, id := range []string{"a", "b"} {
-		if w.sets[id].Mints() {
-			t.Errorf("%s mints one in %d while the third one mints one in %d", id, w.sets[id].Size(), w.sets["third"].Size())
+		if sim.sets[id].Mints() {
+			t.Errorf("%s mints one in %d while the third one mints one in %d", id, sim.sets[id].Size(), sim.sets["third"].Size())
 		}
 	}
 }
@@ -256,33 +256,33 @@
 // well. It must not mint on the report that the first one sent before its restart, since the
 // first one now divides by one instance too few.
 func TestRestartedInstanceForgetsWhomItCounted(t *testing.T) {
-	w := newSimulation("a", "b", "c", "new")
+	sim := newSimulation("a", "b", "c", "new")
 	for _, id := range []string{"a", "b", "c"} {
-		w.write(id)
+		sim.write(id)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		w.read(id)
+		sim.read(id)
 	}
-	w.exchangeAll("a", "b", "c")
+	sim.exchangeAll("a", "b", "c")
 	for _, id := range []string{"a", "b", "c"} {
-		if !w.sets[id].Mints() {
+		if !sim.sets[id].Mints() {
 			t.Fatalf("%s does not mint", id)
 		}
 	}
-	w.write("new")
-	w.read("new")
-	w.exchangeBothWays("new", "a")
-	w.start("a")
-	w.exchangeBothWays("a", "b")
-	w.exchangeBothWays("a", "c")
-	w.sets["a"].Mints()
-	w.exchangeBothWays("b", "new")
-	w.exchangeBothWays("c", "new")
-	w.sets["new"].Mints()
-	checkShares(t, w)
-	w.exchangeAll("a", "b", "c", "new")
-	checkShares(t, w)
-	if !w.sets["new"].Mints() {
+	sim.write("new")
+	sim.read("new")
+	sim.exchangeBothWays("new", "a")
+	sim.start("a")
+	sim.exchangeBothWays("a", "b")
+	sim.exchangeBothWays("a", "c")
+	sim.sets["a"].Mints()
+	sim.exchangeBothWays("b", "new")
+	sim.exchangeBothWays("c", "new")
+	sim.sets["new"].Mints()
+	checkShares(t, sim)
+	sim.exchangeAll("a", "b", "c", "new")
+	checkShares(t, sim)
+	if !sim.sets["new"].Mints() {
 		t.Error("the joining instance never mints although all have it in their sets")
 	}
 }
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -43,9 +43,9 @@
 		b.owed[s.Name] = maxCredit
 	}
 	earned := s.Retry.Budget
-	back := min(earned, b.owed[s.Name])
-	b.owed[s.Name] -= back
-	b.credit[s.Name] = min(b.creditOf(s)+earned-back, maxCredit)
+	repaid := min(earned, b.owed[s.Name])
+	b.owed[s.Name] -= repaid
+	b.credit[s.Name] = min(b.creditOf(s)+earned-repaid, maxCredit)
 }
 
 func (b *Budget) creditOf(s *service.Service) float64 {
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -192,13 +192,13 @@
 }
 
 // RecordPromise records a member's promise. Its validity counts from the request.
-func (m *Machine) RecordPromise(a Request, by Member, valid time.Duration) {
+func (m *Machine) RecordPromise(req Request, by Member, valid time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := m.slots[a.Slot]
-	if s.held == nil || by != a.To {
+	s := m.slots[req.Slot]
+	if s.held == nil || by != req.To {
 		return
 	}
-	key := promiseKey{by, a.Seq}
-	s.promised[key] = latest(s.promised[key], a.SentAt.Add(valid))
+	key := promiseKey{by, req.Seq}
+	s.promised[key] = latest(s.promised[key], req.SentAt.Add(valid))
 }
--- a/coordination/slots/taker.go
+++ b/coordination/slots/taker.go
@@ -93,12 +93,12 @@
 // instances have to wait for the slot's expiry, by which the holder has stopped in any case.
 func (m *Machine) stepOther(s *slot, now time.Time, out *Actions) {
 	r := s.seen.Record
-	silent := now.Sub(s.seenAt)
-	if silent >= WithDrift(r.slotExpiry()) {
+	sinceSeen := now.Sub(s.seenAt)
+	if sinceSeen >= WithDrift(r.slotExpiry()) {
 		m.take(s, now, out)
 		return
 	}
-	if silent < WithDrift(r.lease()) || !r.isListed(m.self) {
+	if sinceSeen < WithDrift(r.lease()) || !r.isListed(m.self) {
 		return
 	}
 	s.consentLocally(m.self, r.Seq, now)
@@ -130,11 +130,11 @@
 }
 
 // RecordConsent records a member's consent to the version in the request.
-func (m *Machine) RecordConsent(a Request, by Member) {
+func (m *Machine) RecordConsent(req Request, by Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if by == a.To {
-		s := m.slots[a.Slot]
-		s.consents[by] = max(s.consents[by], a.Seq)
+	if by == req.To {
+		s := m.slots[req.Slot]
+		s.consents[by] = max(s.consents[by], req.Seq)
 	}
 }
