--- a/coordination/slots/record.go
+++ b/coordination/slots/record.go
@@ -66,14 +66,14 @@
 // Encode returns the record as it is stored.
 func (r *Record) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
-	return data, errors.Wrap(err, "slot record")
+	return data, errors.Wrap(err, "encode slot record")
 }
 
 // DecodeRecord decodes a stored record.
 func DecodeRecord(data []byte) (Record, error) {
 	var r Record
 	err := json.Unmarshal(data, &r)
-	return r, errors.Wrap(err, "slot record")
+	return r, errors.Wrap(err, "decode slot record")
 }
 
 // Prefix returns the store prefix of a failure domain's slots.
