--- a/cmd/basilroute/documents.go
+++ b/cmd/basilroute/documents.go
@@ -153,7 +153,7 @@
 	if expect < 0 {
 		expect = current.Revision
 	}
-	return store.Put(ctx, platform.Write{Key: d.Key(), Value: content, Expect: expect, After: current.Nonce})
+	return store.Put(ctx, platform.Write{Key: d.Key(), Value: content, ExpectRevision: expect, AfterNonce: current.Nonce})
 }
 
 // standing reads what a write of the key replaces: a value, or a deletion, which
--- a/cmd/basilroute/keys.go
+++ b/cmd/basilroute/keys.go
@@ -57,7 +57,7 @@
 	if _, err := service.Parse(account, []byte(next)); err != nil {
 		return err
 	}
-	if _, err := store.Put(ctx, platform.Write{Key: name, Value: []byte(next), Expect: current.Revision, After: current.Nonce}); err != nil {
+	if _, err := store.Put(ctx, platform.Write{Key: name, Value: []byte(next), ExpectRevision: current.Revision, AfterNonce: current.Nonce}); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintln(command.Root().Writer, presented)
--- a/instance/fakestore_test.go
+++ b/instance/fakestore_test.go
@@ -78,7 +78,7 @@
 	if current.Deleted {
 		current.Revision = 0
 	}
-	if current.Revision != w.Expect {
+	if current.Revision != w.ExpectRevision {
 		return 0, platform.ErrConflict
 	}
 	s.revision++
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -186,7 +186,7 @@
 	i.platform, err = platform.New(platform.Settings{
 		URL: i.settings.Platform.URL, CallTimeout: i.settings.Platform.CallTimeout,
 		CallRate: i.settings.Platform.CallRate, CallBurst: int(i.settings.Platform.CallBurst),
-	}, i.metrics.CountStore(transport))
+	}, i.metrics.CountStoreCalls(transport))
 	if err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 
 func (i *Instance) wireServers(creds credentials.TransportCredentials) error {
 	callers, err := (&gateway.Gateway{
-		Catalog: i.catalog, Requests: i.requests, Runner: i.front, Entry: i, Ready: i.Ready, Metrics: i.metrics,
+		Catalog: i.catalog, Requests: i.requests, Runner: i.front, Entries: i, Ready: i.Ready, Metrics: i.metrics,
 		Via: via.NewSigner(i.settings.viaSecret()),
 	}).Handler()
 	if err != nil {
--- a/instance/quota.go
+++ b/instance/quota.go
@@ -77,7 +77,7 @@
 func (i *Instance) Borrow(req *peerpb.BorrowRequest) *peerpb.BorrowResponse {
 	self := i.member()
 	wants, reports := peer.DecodeBorrow(self, req)
-	return peer.EncodeLent(self, i.ledger.Lend(wants, reports, time.Now()))
+	return peer.EncodeGrants(self, i.ledger.Lend(wants, reports, time.Now()))
 }
 
 // returnLoans gives back what was borrowed and waits for the slots to be released.
--- a/instance/routed/copies.go
+++ b/instance/routed/copies.go
@@ -153,7 +153,7 @@
 // sendUpdate sends views to a follower, in parts if they are large and the follower takes parts.
 func (n *Instance) sendUpdate(stream grpc.ServerStreamingServer[peerpb.FollowUpdate], views []*peerpb.StoreView, parts bool) error {
 	update := &peerpb.FollowUpdate{Views: views}
-	if !parts || proto.Size(update) <= peer.PartBytes {
+	if !parts || proto.Size(update) <= peer.ChunkBytes {
 		return stream.Send(update)
 	}
 	packed, err := n.packs.pack(update)
@@ -161,7 +161,7 @@
 		n.log.Error("update_unpackable", "error", err.Error())
 		return status.Error(codes.Internal, err.Error())
 	}
-	return peer.SendParts(packed, stream.Send)
+	return peer.SendChunks(packed, stream.Send)
 }
 
 // sendOnce sends what a peer lacks to a few at a time.
@@ -186,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	var parts peer.Assembly
+	var parts peer.Assembler
 	partial := false
 	defer func() { n.noteReceiving(&partial, false) }()
 	for {
@@ -195,12 +195,12 @@
 			return err
 		}
 		silence.Reset(followSilence)
-		update, err := parts.Take(message)
+		update, err := parts.Add(message)
 		if err != nil {
 			n.log.Error("update_unreadable", "peer", from.peer, "error", err.Error())
 			return err
 		}
-		n.noteReceiving(&partial, parts.Partial())
+		n.noteReceiving(&partial, parts.Incomplete())
 		n.takeViews(update.GetViews(), from)
 		if !more() {
 			return nil
--- a/instance/routed/join.go
+++ b/instance/routed/join.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return errors.Wrap(err, "member")
 	}
-	_, err = n.source.Store().Put(ctx, platform.Write{Key: membersPrefix + n.settings.ID, Value: value, Expect: platform.ExpectAny})
+	_, err = n.source.Store().Put(ctx, platform.Write{Key: membersPrefix + n.settings.ID, Value: value, ExpectRevision: platform.ExpectAny})
 	return err
 }
 
--- a/instance/routed/node.go
+++ b/instance/routed/node.go
@@ -209,7 +209,7 @@
 	}
 	n.peers = grpc.NewServer(append(peer.ServerOptions(),
 		grpc.InitialWindowSize(peer.StreamWindow), grpc.InitialConnWindowSize(peer.StreamWindow))...)
-	peerpb.RegisterPeerServer(n.peers, &peer.Server{Runner: noGenerations{}, Exchanger: n, Quota: n, Followed: n})
+	peerpb.RegisterPeerServer(n.peers, &peer.Server{Runner: noGenerations{}, Exchanger: n, Quota: n, Follower: n})
 }
 
 // Start serves and runs the loops until Stop.
--- a/instance/routed/quota.go
+++ b/instance/routed/quota.go
@@ -73,7 +73,7 @@
 func (n *Instance) Borrow(req *peerpb.BorrowRequest) *peerpb.BorrowResponse {
 	self := n.member()
 	wants, reports := peer.DecodeBorrow(self, req)
-	return peer.EncodeLent(self, n.ledger.Lend(wants, reports, time.Now()))
+	return peer.EncodeGrants(self, n.ledger.Lend(wants, reports, time.Now()))
 }
 
 // Promise implements peer.Quota: parts of the quota change no hands here.
--- a/instance/slots.go
+++ b/instance/slots.go
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithTimeout(ctx, slotWriteTimeout)
 	defer cancel()
 	revision, err := i.platform.Put(ctx, platform.Write{
-		Key: slots.Key(i.settings.Domain, w.Slot), Value: value, Expect: w.Expect,
+		Key: slots.Key(i.settings.Domain, w.Slot), Value: value, ExpectRevision: w.Expect,
 	})
 	switch {
 	case err == nil:
--- a/instance/storewatch.go
+++ b/instance/storewatch.go
@@ -209,7 +209,7 @@
 	w.delay(ctx)
 	if g.Current <= generation {
 		_, err := w.store.Put(ctx, platform.Write{
-			Key: configwatch.GenerationKey(), Value: g.Next(generation), Expect: g.Revision,
+			Key: configwatch.GenerationKey(), Value: g.Next(generation), ExpectRevision: g.Revision,
 		})
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
 			return err
@@ -254,7 +254,7 @@
 	}
 	next := platform.Write{Key: d.Key, Value: d.Value, Delete: d.Deleted, Nonce: d.Nonce}
 	if listed && !kv.Deleted {
-		next.Expect = kv.Revision
+		next.ExpectRevision = kv.Revision
 	}
 	_, err := w.store.Put(ctx, next)
 	if errors.Is(err, platform.ErrConflict) {
--- a/instance/storewatch_test.go
+++ b/instance/storewatch_test.go
@@ -85,7 +85,7 @@
 	key := service.StoreKey(service.KindAccount, name)
 	current, _ := m.store.Get(context.Background(), key)
 	m.version++
-	_, _ = m.store.Put(context.Background(), platform.Write{Key: key, Value: accountVersion(name, m.version), Expect: current.Revision})
+	_, _ = m.store.Put(context.Background(), platform.Write{Key: key, Value: accountVersion(name, m.version), ExpectRevision: current.Revision})
 }
 
 func (m *configModel) watch(t *rapid.T) {
@@ -191,7 +191,7 @@
 		m.version++
 		key := service.StoreKey(service.KindAccount, name)
 		current, _ := m.store.Get(t.Context(), key)
-		if _, err := m.store.Put(t.Context(), platform.Write{Key: key, Value: accountVersion(name, m.version), Expect: current.Revision}); err != nil {
+		if _, err := m.store.Put(t.Context(), platform.Write{Key: key, Value: accountVersion(name, m.version), ExpectRevision: current.Revision}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -236,7 +236,7 @@
 	w, late := m.watchers[0], m.watchers[1]
 	_ = w.watch.once(t.Context(), m.now)
 	_ = late.watch.once(t.Context(), m.now)
-	_, _ = m.store.Put(t.Context(), platform.Write{Key: key, Expect: 1, Delete: true})
+	_, _ = m.store.Put(t.Context(), platform.Write{Key: key, ExpectRevision: 1, Delete: true})
 	_ = w.watch.once(t.Context(), m.now)
 	if w.version("a") != 0 {
 		t.Fatal("the deletion is not in force")
--- a/localfleet/localfleet.go
+++ b/localfleet/localfleet.go
@@ -203,7 +203,7 @@
 	if err == nil {
 		expect = current.Revision
 	}
-	_, err = f.Store.Put(ctx, transport.Write{Key: d.Key(), Value: []byte(document), Expect: expect})
+	_, err = f.Store.Put(ctx, transport.Write{Key: d.Key(), Value: []byte(document), ExpectRevision: expect})
 	return err
 }
 
--- a/transport/claim/claim_test.go
+++ b/transport/claim/claim_test.go
@@ -94,7 +94,7 @@
 
 func (s *fakeStore) apply(w platform.Write) (int64, error) {
 	current := s.keys[w.Key]
-	if current.Revision != w.Expect {
+	if current.Revision != w.ExpectRevision {
 		return 0, platform.ErrConflict
 	}
 	s.revision++
@@ -147,7 +147,7 @@
 	time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	switch rng.IntN(4) {
 	case 0: // the server could not be reached
-		held.Ended(refusal.NotRun)
+		held.Finish(refusal.NotRun)
 		return refusal.New(refusal.CodeBackendFailed, "not reached")
 	case 1: // the instance is killed between claim and dispatch
 		return refusal.New(refusal.CodePeerUnreachable, "killed").WithRun(refusal.Unknown)
@@ -155,7 +155,7 @@
 	c.mu.Lock()
 	c.runs++
 	c.mu.Unlock()
-	held.Ended(refusal.Ran)
+	held.Finish(refusal.Ran)
 	return nil
 }
 
@@ -261,7 +261,7 @@
 		}
 	}
 	check("in flight", first, r, refusal.CodeConflict, refusal.Unknown)
-	held.Ended(refusal.Ran)
+	held.Finish(refusal.Ran)
 	check("ran, same instance", first, r, refusal.CodeConflict, refusal.Ran)
 	check("ran, other instance", second, r, refusal.CodeConflict, refusal.Unknown)
 	other := r
@@ -285,7 +285,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		held.Ended(refusal.Ran)
+		held.Finish(refusal.Ran)
 	}
 	if store.puts != 100 || store.grants != 1 {
 		t.Errorf("%d writes and %d leases for 100 operations", store.puts, store.grants)
--- a/transport/dispatch/charge.go
+++ b/transport/dispatch/charge.go
@@ -18,7 +18,7 @@
 		return quota.Charge{}, refusal.New(refusal.CodeTooLarge, "the request may use %.0f tokens, the account's burst is %.0f", cost, account.Burst)
 	}
 	if charge, ok := f.Ledger.Admit(account.Name, cost, time.Now()); ok {
-		f.Metrics.Quota(metrics.QuotaCharged, cost)
+		f.Metrics.RecordQuota(metrics.QuotaCharged, cost)
 		return charge, nil
 	}
 	limit := min(w.MaxWait, time.Until(w.Deadline))
@@ -26,10 +26,10 @@
 	select {
 	case verdict := <-waiter.Done:
 		if !verdict.OK {
-			f.Metrics.Quota(metrics.QuotaRefused, cost)
+			f.Metrics.RecordQuota(metrics.QuotaRefused, cost)
 			return quota.Charge{}, refusal.New(refusal.CodeRateLimited, "the account is at its rate").After(verdict.RetryAfter)
 		}
-		f.Metrics.Quota(metrics.QuotaCharged, cost)
+		f.Metrics.RecordQuota(metrics.QuotaCharged, cost)
 		return verdict.Charge, nil
 	case <-ctx.Done():
 		f.Ledger.Abandon(waiter, time.Now())
@@ -48,6 +48,6 @@
 	}
 	if used < charge.Tokens {
 		f.Ledger.Settle(charge, used, time.Now())
-		f.Metrics.Quota(metrics.QuotaRefunded, charge.Tokens-used)
+		f.Metrics.RecordQuota(metrics.QuotaRefunded, charge.Tokens-used)
 	}
 }
--- a/transport/dispatch/front.go
+++ b/transport/dispatch/front.go
@@ -132,7 +132,7 @@
 		if refused.Code == refusal.CodeOverloaded {
 			w.MaxWait = max(w.MaxWait-time.Since(sent), 0)
 		}
-		f.Metrics.Retried(w.Service)
+		f.Metrics.RecordRetry(w.Service)
 		if !pause(ctx, wait) {
 			return f.cut(ctx, refused)
 		}
@@ -208,7 +208,7 @@
 	if chosen.Region != f.Region {
 		scope = metrics.ScopeSpill
 	}
-	f.Metrics.Forwarded(w.Service, scope)
+	f.Metrics.RecordForward(w.Service, scope)
 }
 
 func (f *Front) choose(request *routing.Request, w *Work) *routing.Domain {
--- a/transport/dispatch/local.go
+++ b/transport/dispatch/local.go
@@ -60,7 +60,7 @@
 	}
 	submitted := time.Now()
 	release, refused := l.Admission.acquire(ctx, w, svc, l.weight(w.Account))
-	l.Metrics.Queued(w.Service, w.Class, time.Since(submitted))
+	l.Metrics.RecordQueueTime(w.Service, w.Class, time.Since(submitted))
 	if refused != nil {
 		return refused
 	}
@@ -292,6 +292,6 @@
 }
 
 func (l *LocalDispatcher) countDropped(stats *backend.StreamStats) {
-	l.Metrics.Dropped(metrics.DropForeign, stats.Foreign)
-	l.Metrics.Dropped(metrics.DropRepeated, stats.Repeated)
+	l.Metrics.RecordDroppedFrames(metrics.DropForeign, stats.Foreign)
+	l.Metrics.RecordDroppedFrames(metrics.DropRepeated, stats.Repeated)
 }
--- a/transport/gateway/body_test.go
+++ b/transport/gateway/body_test.go
@@ -29,7 +29,7 @@
 	known := catalog.New()
 	presented, stored := catalog.NewKey("suva-1")
 	known.Put(document(t, "kind: account\nname: suva\nrate: 1\nburst: 1\nkeys: [{id: "+stored.ID+", sha256: "+stored.SHA256+"}]\n"))
-	handler, err := (&Gateway{Catalog: known, Requests: requests.New(), Entry: noEntries{}, Ready: func() bool { return true }}).Handler()
+	handler, err := (&Gateway{Catalog: known, Requests: requests.New(), Entries: noEntries{}, Ready: func() bool { return true }}).Handler()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/transport/gateway/errors.go
+++ b/transport/gateway/errors.go
@@ -38,14 +38,14 @@
 
 // encode returns the body of a refusal; one that other instances may serve names them.
 func (g *Gateway) encode(r *refusal.Refusal, account *service.Account) gatewayapi.Refusal {
-	g.Metrics.Refused(string(r.Code))
+	g.Metrics.RecordRefusal(string(r.Code))
 	out := gatewayapi.Refusal{Code: string(r.Code), Message: r.Message, Run: gatewayapi.RefusalRun(r.Run)}
 	if r.RetryAfter > 0 {
 		out.RetryAfterMs = gatewayapi.NewOptInt64(r.RetryAfter.Milliseconds())
 	}
 	switch r.Code {
 	case refusal.CodeLeaving, refusal.CodeNotReady, refusal.CodeOverloaded:
-		out.Entries = g.Entry.Entries(account)
+		out.Entries = g.Entries.Entries(account)
 	}
 	return out
 }
--- a/transport/gateway/flush_test.go
+++ b/transport/gateway/flush_test.go
@@ -54,7 +54,7 @@
 	known.Put(document(t, "kind: service\nname: notice-writer\ntype: model\n"))
 	known.Put(document(t, "kind: account\nname: suva\nrate: 1\nburst: 1\nkeys: [{id: "+stored.ID+", sha256: "+stored.SHA256+"}]\n"))
 	handler, err := (&Gateway{
-		Catalog: known, Requests: requests.New(), Runner: runner, Entry: noEntries{}, Ready: func() bool { return true },
+		Catalog: known, Requests: requests.New(), Runner: runner, Entries: noEntries{}, Ready: func() bool { return true },
 		Via: via.NewSigner(nil),
 	}).Handler()
 	if err != nil {
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -44,7 +44,7 @@
 	Catalog  *catalog.Catalog
 	Requests *requests.Table
 	Runner   Runner
-	Entry    Entries
+	Entries  Entries
 	Ready    func() bool
 	Metrics  *metrics.Recorder // may be nil
 	Via      *via.Signer
@@ -139,7 +139,7 @@
 // ListEntries implements gatewayapi.Handler.
 func (g *Gateway) ListEntries(ctx context.Context) (*gatewayapi.Entries, error) {
 	return &gatewayapi.Entries{
-		Entries: g.Entry.Entries(callerOf(ctx).account),
+		Entries: g.Entries.Entries(callerOf(ctx).account),
 		TTLMs:   entriesTTL.Milliseconds(),
 	}, nil
 }
--- a/transport/gateway/observe.go
+++ b/transport/gateway/observe.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		code = string(refusal.From(err).Code)
 	}
-	g.Metrics.Ended(w.Service, w.Class, code, time.Since(watched.start), watched.tokens)
+	g.Metrics.RecordEnd(w.Service, w.Class, code, time.Since(watched.start), watched.tokens)
 	return err
 }
 
@@ -38,7 +38,7 @@
 // Frame implements dispatch.Sink.
 func (s *observedSink) Frame(server string, f *frame.Frame) error {
 	if s.tokens == 0 && f.Tokens > 0 {
-		s.recorder.FirstToken(s.work.Service, s.work.Class, time.Since(s.start))
+		s.recorder.RecordFirstToken(s.work.Service, s.work.Class, time.Since(s.start))
 	}
 	s.tokens += f.Tokens
 	return s.Sink.Frame(server, f)
--- a/transport/lending/lending.go
+++ b/transport/lending/lending.go
@@ -198,7 +198,7 @@
 	if err != nil {
 		return nil // as above; the tokens lent meanwhile are lost until the loan expires
 	}
-	return peer.DecodeLent(c, resp)
+	return peer.DecodeGrants(c, resp)
 }
 
 // ReturnAll gives back what was borrowed, for a planned stop.
--- a/transport/metrics/recorder.go
+++ b/transport/metrics/recorder.go
@@ -38,13 +38,13 @@
 	ScopeSpill  Scope = "other_region"
 )
 
-// Drop tells why a frame was dropped.
-type Drop string
+// DropReason tells why a frame was dropped.
+type DropReason string
 
 // Reasons for dropping a frame.
 const (
-	DropForeign  Drop = "foreign" // of another request or attempt
-	DropRepeated Drop = "repeated"
+	DropForeign  DropReason = "foreign" // of another request or attempt
+	DropRepeated DropReason = "repeated"
 )
 
 var (
@@ -98,8 +98,8 @@
 	return r
 }
 
-// Ended counts a request and its output at its end.
-func (r *Recorder) Ended(svc string, class service.Class, code string, took time.Duration, tokens int) {
+// RecordEnd counts a request and its output at its end.
+func (r *Recorder) RecordEnd(svc string, class service.Class, code string, took time.Duration, tokens int) {
 	if r == nil {
 		return
 	}
@@ -108,48 +108,48 @@
 	r.output.WithLabelValues(svc).Add(float64(tokens))
 }
 
-// FirstToken observes the time to a request's first token.
-func (r *Recorder) FirstToken(svc string, class service.Class, took time.Duration) {
+// RecordFirstToken observes the time to a request's first token.
+func (r *Recorder) RecordFirstToken(svc string, class service.Class, took time.Duration) {
 	if r == nil {
 		return
 	}
 	r.firstToken.WithLabelValues(svc, string(class)).Observe(took.Seconds())
 }
 
-// Queued observes how long a request waited in a queue, also one that was refused there.
-func (r *Recorder) Queued(svc string, class service.Class, took time.Duration) {
+// RecordQueueTime observes how long a request waited in a queue, also one that was refused there.
+func (r *Recorder) RecordQueueTime(svc string, class service.Class, took time.Duration) {
 	if r == nil {
 		return
 	}
 	r.queueWait.WithLabelValues(svc, string(class)).Observe(took.Seconds())
 }
 
-// Refused counts a refusal that a caller got.
-func (r *Recorder) Refused(code string) {
+// RecordRefusal counts a refusal that a caller got.
+func (r *Recorder) RecordRefusal(code string) {
 	if r == nil {
 		return
 	}
 	r.refusals.WithLabelValues(code).Inc()
 }
 
-// Forwarded counts an attempt sent to a peer.
-func (r *Recorder) Forwarded(svc string, scope Scope) {
+// RecordForward counts an attempt sent to a peer.
+func (r *Recorder) RecordForward(svc string, scope Scope) {
 	if r == nil {
 		return
 	}
 	r.forwarded.WithLabelValues(svc, string(scope)).Inc()
 }
 
-// Retried counts an attempt after the first.
-func (r *Recorder) Retried(svc string) {
+// RecordRetry counts an attempt after the first.
+func (r *Recorder) RecordRetry(svc string) {
 	if r == nil {
 		return
 	}
 	r.retries.WithLabelValues(svc).Inc()
 }
 
-// Dropped counts frames that were dropped.
-func (r *Recorder) Dropped(reason Drop, frames int64) {
+// RecordDroppedFrames counts frames that were dropped.
+func (r *Recorder) RecordDroppedFrames(reason DropReason, frames int64) {
 	if r == nil || frames == 0 {
 		return
 	}
@@ -166,8 +166,8 @@
 	QuotaRefused  QuotaResult = "refused"
 )
 
-// Quota counts tokens by what became of them.
-func (r *Recorder) Quota(result QuotaResult, tokens float64) {
+// RecordQuota counts tokens by what became of them.
+func (r *Recorder) RecordQuota(result QuotaResult, tokens float64) {
 	if r == nil || tokens <= 0 {
 		return
 	}
--- a/transport/metrics/store.go
+++ b/transport/metrics/store.go
@@ -9,9 +9,9 @@
 // resultError is the result of a call that got no answer.
 const resultError = "error"
 
-// CountStore wraps the transport of the platform's client, so that each call is
+// CountStoreCalls wraps the transport of the platform's client, so that each call is
 // counted where it is sent: the platform's budget counts calls, not outcomes.
-func (r *Recorder) CountStore(next http.RoundTripper) http.RoundTripper {
+func (r *Recorder) CountStoreCalls(next http.RoundTripper) http.RoundTripper {
 	return &storeTransport{next: next, recorder: r}
 }
 
--- a/transport/peer/parts.go
+++ b/transport/peer/parts.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// PartBytes is how much of an update goes in one message: of ten that share a link of
+	// ChunkBytes is how much of an update goes in one message: of ten that share a link of
 	// 10 Mbit/s each gets one in 130 ms, and sees that its sender lives.
-	PartBytes = 16 << 10
+	ChunkBytes = 16 << 10
 	// maxUpdateBytes bounds an update, packed and unpacked: a prefix of the store with a
 	// hundred thousand entries.
 	maxUpdateBytes = 32 << 20
@@ -41,10 +41,10 @@
 	return packed.Bytes(), nil
 }
 
-// SendParts sends a packed update.
-func SendParts(packed []byte, send func(*peerpb.FollowUpdate) error) error {
+// SendChunks sends a packed update.
+func SendChunks(packed []byte, send func(*peerpb.FollowUpdate) error) error {
 	for {
-		part := packed[:min(len(packed), PartBytes)]
+		part := packed[:min(len(packed), ChunkBytes)]
 		packed = packed[len(part):]
 		if err := send(&peerpb.FollowUpdate{Part: part, Last: len(packed) == 0}); err != nil {
 			return err
@@ -55,14 +55,14 @@
 	}
 }
 
-// Assembly puts the parts of updates together.
-type Assembly struct{ packed []byte }
+// Assembler puts the parts of updates together.
+type Assembler struct{ packed []byte }
 
-// Partial tells whether parts of an update are still to come.
-func (a *Assembly) Partial() bool { return len(a.packed) > 0 }
+// Incomplete tells whether parts of an update are still to come.
+func (a *Assembler) Incomplete() bool { return len(a.packed) > 0 }
 
-// Take takes in a message and returns the update that is complete with it, or nil.
-func (a *Assembly) Take(message *peerpb.FollowUpdate) (*peerpb.FollowUpdate, error) {
+// Add takes in a message and returns the update that is complete with it, or nil.
+func (a *Assembler) Add(message *peerpb.FollowUpdate) (*peerpb.FollowUpdate, error) {
 	if len(message.GetPart()) == 0 {
 		return message, nil
 	}
--- a/transport/peer/parts_test.go
+++ b/transport/peer/parts_test.go
@@ -27,25 +27,25 @@
 
 // An update comes out of its parts as it went in, and messages of one piece pass between updates.
 func TestUpdateInParts(t *testing.T) {
-	var a Assembly
-	for _, value := range [][]byte{nil, noise(10), noise(PartBytes), noise(3*PartBytes + 1), bytes.Repeat([]byte("route"), 50_000)} {
+	var a Assembler
+	for _, value := range [][]byte{nil, noise(10), noise(ChunkBytes), noise(3*ChunkBytes + 1), bytes.Repeat([]byte("route"), 50_000)} {
 		want, messages := update(value), 0
 		packed, err := PackUpdate(want)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got *peerpb.FollowUpdate
-		err = SendParts(packed, func(m *peerpb.FollowUpdate) (err error) {
+		err = SendChunks(packed, func(m *peerpb.FollowUpdate) (err error) {
 			if messages++; got != nil {
 				t.Error("complete before its last part")
 			}
-			got, err = a.Take(m)
+			got, err = a.Add(m)
 			return err
 		})
-		if err != nil || !proto.Equal(got, want) || a.Partial() {
+		if err != nil || !proto.Equal(got, want) || a.Incomplete() {
 			t.Errorf("%d bytes in %d parts: %v", len(value), messages, err)
 		}
-		if beat, err := a.Take(&peerpb.FollowUpdate{}); err != nil || beat == nil {
+		if beat, err := a.Add(&peerpb.FollowUpdate{}); err != nil || beat == nil {
 			t.Errorf("beat: %v, %v", beat, err)
 		}
 	}
@@ -57,9 +57,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var a Assembly
-	err = SendParts(packed, func(m *peerpb.FollowUpdate) error {
-		_, err := a.Take(m)
+	var a Assembler
+	err = SendChunks(packed, func(m *peerpb.FollowUpdate) error {
+		_, err := a.Add(m)
 		return err
 	})
 	if err == nil {
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -64,8 +64,8 @@
 	return wants, reports
 }
 
-// EncodeLent returns a lender's answer.
-func EncodeLent(self slots.Member, lent []quota.LoanGrant) *peerpb.BorrowResponse {
+// EncodeGrants returns a lender's answer.
+func EncodeGrants(self slots.Member, lent []quota.LoanGrant) *peerpb.BorrowResponse {
 	resp := &peerpb.BorrowResponse{Incarnation: self.Incarnation, ValidMs: quota.LoanValidity.Milliseconds()}
 	for _, item := range lent {
 		if item.Tokens > 0 {
@@ -75,9 +75,9 @@
 	return resp
 }
 
-// DecodeLent returns what was lent; not nil, unless the lender has restarted since the
+// DecodeGrants returns what was lent; not nil, unless the lender has restarted since the
 // call was planned, or goes by another validity: then it lends nothing.
-func DecodeLent(c *quota.Call, resp *peerpb.BorrowResponse) []quota.LoanGrant {
+func DecodeGrants(c *quota.Call, resp *peerpb.BorrowResponse) []quota.LoanGrant {
 	if resp.GetIncarnation() != c.Lender.Incarnation || resp.GetValidMs() < quota.LoanValidity.Milliseconds() {
 		return nil
 	}
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -28,8 +28,8 @@
 	Exchange(req *peerpb.ExchangeRequest) *peerpb.ExchangeResponse
 }
 
-// Followed hands on what changes in the store.
-type Followed interface {
+// Follower hands on what changes in the store.
+type Follower interface {
 	Follow(req *peerpb.FollowRequest, stream grpc.ServerStreamingServer[peerpb.FollowUpdate]) error
 }
 
@@ -39,7 +39,7 @@
 	Runner    Runner
 	Exchanger Exchanger
 	Quota     Quota
-	Followed  Followed // may be nil
+	Follower  Follower // may be nil
 
 	running running
 }
@@ -65,10 +65,10 @@
 
 // Follow implements peerpb.PeerServer.
 func (s *Server) Follow(req *peerpb.FollowRequest, stream grpc.ServerStreamingServer[peerpb.FollowUpdate]) error {
-	if s.Followed == nil {
+	if s.Follower == nil {
 		return status.Error(codes.Unimplemented, "this instance is not followed")
 	}
-	return s.Followed.Follow(req, stream)
+	return s.Follower.Follow(req, stream)
 }
 
 // Forward implements peerpb.PeerServer.
--- a/transport/peer/size_test.go
+++ b/transport/peer/size_test.go
@@ -26,7 +26,7 @@
 			}
 			size := 0
 			for b.Loop() {
-				req, resp := EncodeBorrow(from, call), EncodeLent(from, lent)
+				req, resp := EncodeBorrow(from, call), EncodeGrants(from, lent)
 				size = proto.Size(req) + proto.Size(resp)
 			}
 			b.ReportMetric(float64(size), "wire-B")
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -35,13 +35,13 @@
 
 // Write is a compare-and-swap.
 type Write struct {
-	Key    string
-	Value  []byte
-	Expect int64 // revision the key must have; 0 when it must not exist, ExpectAny for any
-	Lease  int64 // the key ends with the lease; 0 for none
-	Delete bool
-	After  string // nonce that the new one has to come after, by any clock; may be empty
-	Nonce  string // of a value that is written back as it was; a new one when empty
+	Key            string
+	Value          []byte
+	ExpectRevision int64 // revision the key must have; 0 when it must not exist, ExpectAny for any
+	Lease          int64 // the key ends with the lease; 0 for none
+	Delete         bool
+	AfterNonce     string // nonce that the new one has to come after, by any clock; may be empty
+	Nonce          string // of a value that is written back as it was; a new one when empty
 }
 
 // ExpectAny lets a write stand whatever the key holds.
@@ -233,7 +233,7 @@
 // write again with the same nonce: a compare-and-swap takes effect once, and a
 // conflict is settled by reading which nonce stands.
 func (c *Client) Put(ctx context.Context, w Write) (int64, error) {
-	nonce, err := newNonce(w.After)
+	nonce, err := newNonce(w.AfterNonce)
 	if err != nil {
 		return 0, err
 	}
@@ -259,7 +259,7 @@
 	var result *platformapi.PutResult
 	err := c.call(ctx, 0, func(ctx context.Context) (err error) {
 		result, err = c.api.PutKey(ctx, &platformapi.PutRequest{
-			Key: w.Key, Value: seal(cmp.Or(w.Nonce, nonce), nonce, w.Value), Expect: w.Expect,
+			Key: w.Key, Value: seal(cmp.Or(w.Nonce, nonce), nonce, w.Value), Expect: w.ExpectRevision,
 			Lease: platformapi.NewOptInt64(w.Lease), Delete: platformapi.NewOptBool(w.Delete),
 		})
 		return err
@@ -293,7 +293,7 @@
 	if !w.Delete {
 		return c.Get(ctx, w.Key)
 	}
-	changes, _, err := c.List(ctx, w.Key, w.Expect)
+	changes, _, err := c.List(ctx, w.Key, w.ExpectRevision)
 	if err != nil {
 		return KeyValue{}, err
 	}
--- a/transport/platform/platform_test.go
+++ b/transport/platform/platform_test.go
@@ -49,12 +49,12 @@
 		t.Fatalf("create: revision %d, %v", created, err)
 	}
 	server.SetFaults(standin.Faults{LoseAnswers: 1})
-	written, err := client.Put(t.Context(), platform.Write{Key: "k", Value: []byte("2"), Expect: created})
+	written, err := client.Put(t.Context(), platform.Write{Key: "k", Value: []byte("2"), ExpectRevision: created})
 	if err != nil || written != 2 {
 		t.Fatalf("write: revision %d, %v", written, err)
 	}
 	server.SetFaults(standin.Faults{LoseAnswers: 1})
-	deleted, err := client.Put(t.Context(), platform.Write{Key: "k", Expect: written, Delete: true})
+	deleted, err := client.Put(t.Context(), platform.Write{Key: "k", ExpectRevision: written, Delete: true})
 	if err != nil || deleted != 3 {
 		t.Fatalf("delete: revision %d, %v", deleted, err)
 	}
@@ -81,7 +81,7 @@
 func TestLostAnswerThenOverwrittenIsAConflict(t *testing.T) {
 	_, other, url := openAt(t)
 	lossy, err := platform.New(settings(url), &afterFirst{then: func() {
-		if _, err := other.Put(t.Context(), platform.Write{Key: "k", Value: []byte("theirs"), Expect: 1}); err != nil {
+		if _, err := other.Put(t.Context(), platform.Write{Key: "k", Value: []byte("theirs"), ExpectRevision: 1}); err != nil {
 			t.Error(err)
 		}
 	}})
@@ -122,7 +122,7 @@
 func TestNonceComesAfterTheReplacedOne(t *testing.T) {
 	_, client := open(t)
 	const future = "ffff0000-0000-7000-8000-000000000000"
-	if _, err := client.Put(t.Context(), platform.Write{Key: "k", After: future}); err != nil {
+	if _, err := client.Put(t.Context(), platform.Write{Key: "k", AfterNonce: future}); err != nil {
 		t.Fatal(err)
 	}
 	kv, err := client.Get(t.Context(), "k")
