--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -10,9 +10,9 @@
 	Sizes     int     // different sizes among the points
 }
 
-// Line fits by least squares. Repeated runs of one size count as points of their
+// FitLine fits by least squares. Repeated runs of one size count as points of their
 // own. With fewer than two sizes there is no slope, and the intercept is the mean.
-func Line(points []Point) Fit {
+func FitLine(points []Point) Fit {
 	n := float64(len(points))
 	sizes := make(map[float64]bool)
 	var meanX, meanY float64
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -8,23 +8,23 @@
 
 // Target is a size of the fleet two years on.
 type Target struct {
-	Size float64
-	Of   string
-	// Words are parts of a benchmark's name, in lower case, that say that its size
+	Size     float64
+	Resource string
+	// Keywords are parts of a benchmark's name, in lower case, that say that its size
 	// counts this.
-	Words []string
+	Keywords []string
 }
 
 // Targets returns the sizes to work out. The first whose word a benchmark's name
 // holds is that benchmark's.
 func Targets() []Target {
 	return []Target{
-		{Size: 120, Of: "backend servers of a failure domain", Words: []string{"domainserver", "routing", "chooseserver"}},
-		{Size: 196, Of: "open streams of an instance", Words: []string{"stream"}}, // 1.5 million tokens/s at 47 ms over 360
-		{Size: 52, Of: "instances of a failure domain", Words: []string{"domaininstance", "slot", "watcher"}},
-		{Size: 11000, Of: "client accounts", Words: []string{"account", "key", "document", "snapshot", "quota", "ledger"}},
-		{Size: 830, Of: "backend servers", Words: []string{"server"}},
-		{Size: 360, Of: "instances", Words: []string{"instance", "member", "gossip", "exchange", "peer", "fanout", "config"}},
+		{Size: 120, Resource: "backend servers of a failure domain", Keywords: []string{"domainserver", "routing", "chooseserver"}},
+		{Size: 196, Resource: "open streams of an instance", Keywords: []string{"stream"}}, // 1.5 million tokens/s at 47 ms over 360
+		{Size: 52, Resource: "instances of a failure domain", Keywords: []string{"domaininstance", "slot", "watcher"}},
+		{Size: 11000, Resource: "client accounts", Keywords: []string{"account", "key", "document", "snapshot", "quota", "ledger"}},
+		{Size: 830, Resource: "backend servers", Keywords: []string{"server"}},
+		{Size: 360, Resource: "instances", Keywords: []string{"instance", "member", "gossip", "exchange", "peer", "fanout", "config"}},
 	}
 }
 
@@ -34,7 +34,7 @@
 func targetOf(benchmark string, targets []Target) (Target, bool) {
 	name := strings.ToLower(benchmark)
 	for _, t := range targets {
-		for _, word := range t.Words {
+		for _, word := range t.Keywords {
 			if strings.Contains(name, word) {
 				return t, true
 			}
@@ -56,7 +56,7 @@
 }
 
 func writeSeries(b *strings.Builder, s *Series, targets []Target) {
-	fit := Line(s.Points)
+	fit := FitLine(s.Points)
 	fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %.3f |", s.Benchmark, s.Metric, sizes(s.Points),
 		figure(fit.Intercept), figure(fit.Slope), fit.R2)
 	target, ok := targetOf(s.Benchmark, targets)
@@ -64,9 +64,9 @@
 	case !ok:
 		b.WriteString(" no target | | |\n")
 	case fit.Sizes < minSizes:
-		fmt.Fprintf(b, " %g | %s | fewer than %d sizes |\n", target.Size, target.Of, minSizes)
+		fmt.Fprintf(b, " %g | %s | fewer than %d sizes |\n", target.Size, target.Resource, minSizes)
 	default:
-		fmt.Fprintf(b, " %g | %s | %s |\n", target.Size, target.Of, figure(fit.At(target.Size)))
+		fmt.Fprintf(b, " %g | %s | %s |\n", target.Size, target.Resource, figure(fit.At(target.Size)))
 	}
 }
 
--- a/cmd/basilroute/overhead.go
+++ b/cmd/basilroute/overhead.go
@@ -86,7 +86,7 @@
 		row := rows[name]
 		lines = append(lines, fmt.Sprintf("%-24s %s %s %s %s", name,
 			against(row.FirstToken.P50, direct.FirstToken.P50), against(row.FirstToken.P99, direct.FirstToken.P99),
-			against(row.Whole.P50, direct.Whole.P50), against(row.Whole.P99, direct.Whole.P99)))
+			against(row.ResponseTime.P50, direct.ResponseTime.P50), against(row.ResponseTime.P99, direct.ResponseTime.P99)))
 	}
 	return lines
 }
--- a/experiment/policy.go
+++ b/experiment/policy.go
@@ -134,8 +134,8 @@
 // parallelRuns bounds how many runs go at once.
 const parallelRuns = 4
 
-// Policies compares routing and admission with their baselines.
-func Policies(d simDeployment) func(seed uint64) (Table, error) {
+// ComparePolicies compares routing and admission with their baselines.
+func ComparePolicies(d simDeployment) func(seed uint64) (Table, error) {
 	return func(seed uint64) (Table, error) {
 		all, ways := scenarios(), policies()
 		outcomes := make([]outcome, len(all)*len(ways))
--- a/experiment/policy_retry.go
+++ b/experiment/policy_retry.go
@@ -16,7 +16,7 @@
 	var out []Experiment
 	for i, d := range deployments() {
 		name := []string{"policy-recall", "policy-guild"}[i]
-		out = append(out, Experiment{Name: name, Title: "Routing and admission: " + d.name, Run: Policies(d)})
+		out = append(out, Experiment{Name: name, Title: "Routing and admission: " + d.name, Run: ComparePolicies(d)})
 	}
 	return append(out, Experiment{Name: "retries", Title: "Retries while half of the backend servers fail", Run: retries})
 }
--- a/loadgen/answer.go
+++ b/loadgen/answer.go
@@ -62,7 +62,7 @@
 )
 
 // readEvents reads a stream of server-sent events to its end.
-func readEvents(r io.Reader, p *Planned, out *Outcome) {
+func readEvents(r io.Reader, p *PlannedRequest, out *Outcome) {
 	lines := bufio.NewReaderSize(r, lineBytes)
 	check := newChecker(p.Prompt)
 	incomplete := false
@@ -137,7 +137,7 @@
 }
 
 // readFrames reads an engine's own stream to its end.
-func readFrames(r io.Reader, p *Planned, out *Outcome) {
+func readFrames(r io.Reader, p *PlannedRequest, out *Outcome) {
 	lines := bufio.NewReaderSize(r, lineBytes)
 	check := newChecker(p.Prompt)
 	var f frame.Frame
--- a/loadgen/collect.go
+++ b/loadgen/collect.go
@@ -34,7 +34,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), histogramMax)) // in range by the clamp
 }
 
-func (s *series) add(p *Planned, due time.Time, out *Outcome, end time.Time) {
+func (s *series) add(p *PlannedRequest, due time.Time, out *Outcome, end time.Time) {
 	s.sent++
 	s.retries += int64(out.Attempts - 1)
 	s.tokens += int64(out.Tokens)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (c *collector) add(arm string, p *Planned, due time.Time, out *Outcome, end time.Time) {
+func (c *collector) add(arm string, p *PlannedRequest, due time.Time, out *Outcome, end time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.charges[p.Account.Name] = append(c.charges[p.Account.Name], chargeOf(p, out))
@@ -87,7 +87,7 @@
 	for _, into := range []struct {
 		group map[string]*series
 		name  string
-	}{{c.arms, arm}, {c.classes, p.Request.Class}, {c.accounts, p.Account.Name}} {
+	}{{c.arms, arm}, {c.classes, p.Kind.Class}, {c.accounts, p.Account.Name}} {
 		s := into.group[into.name]
 		if s == nil {
 			s = newSeries()
@@ -101,7 +101,7 @@
 func (c *collector) report(took time.Duration) *Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &Report{Seed: c.mix.Seed, Took: took, Warmup: c.hidden}
+	r := &Report{Seed: c.mix.Seed, Elapsed: took, Warmup: c.hidden}
 	r.Arms = rows(c.arms)
 	r.Classes = rows(c.classes)
 	for code, count := range c.codes {
--- a/loadgen/due.go
+++ b/loadgen/due.go
@@ -17,9 +17,9 @@
 	limited bool    // refused because of the account's rate
 }
 
-func chargeOf(p *Planned, out *Outcome) charge {
+func chargeOf(p *PlannedRequest, out *Outcome) charge {
 	c := charge{at: p.At, cost: p.Cost(), limited: out.Code == string(refusal.CodeRateLimited)}
-	if out.Tokens > 0 && p.Request.Operation == "" {
+	if out.Tokens > 0 && p.Kind.Operation == "" {
 		c.used = float64(tokens.Estimate(p.Prompt) + out.Tokens)
 	}
 	return c
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -33,8 +33,8 @@
 	return m
 }
 
-func plan(m *Mix) []*Planned {
-	var all []*Planned
+func plan(m *Mix) []*PlannedRequest {
+	var all []*PlannedRequest
 	p := newPlanner(m)
 	for next := p.next(); next != nil; next = p.next() {
 		all = append(all, next)
@@ -67,7 +67,7 @@
 // slowTarget answers each request after a fixed time.
 type slowTarget struct{ takes time.Duration }
 
-func (s slowTarget) Send(_ context.Context, p *Planned, out *Outcome) {
+func (s slowTarget) Send(_ context.Context, p *PlannedRequest, out *Outcome) {
 	time.Sleep(s.takes)
 	out.Status, out.Code = 200, CodeDone
 	out.token(time.Now(), 1)
@@ -121,7 +121,7 @@
 		"broken":     {"data: {\n\n", CodeWrongAnswer},
 	} {
 		var out Outcome
-		readEvents(strings.NewReader(test.stream), &Planned{Prompt: prompt, MaxTokens: 2}, &out)
+		readEvents(strings.NewReader(test.stream), &PlannedRequest{Prompt: prompt, MaxTokens: 2}, &out)
 		if out.Code != test.want {
 			t.Errorf("%s: %s, want %s", name, out.Code, test.want)
 		}
--- a/loadgen/mix.go
+++ b/loadgen/mix.go
@@ -39,23 +39,23 @@
 
 // Account is a client account that sends requests.
 type Account struct {
-	Name     string    `yaml:"name"`
-	Key      string    `yaml:"key"`      // as callers present it
-	Share    float64   `yaml:"share"`    // weight among the accounts
-	Multiply float64   `yaml:"multiply"` // sends this many times its share; 1 when not given
-	Rate     float64   `yaml:"rate"`     // of its document, tokens per second; 0 leaves its due unknown
-	Burst    float64   `yaml:"burst"`    // of its document, tokens
-	Requests []Request `yaml:"requests"`
+	Name           string        `yaml:"name"`
+	Key            string        `yaml:"key"`      // as callers present it
+	Share          float64       `yaml:"share"`    // weight among the accounts
+	LoadMultiplier float64       `yaml:"multiply"` // sends this many times its share; 1 when not given
+	Rate           float64       `yaml:"rate"`     // of its document, tokens per second; 0 leaves its due unknown
+	Burst          float64       `yaml:"burst"`    // of its document, tokens
+	Requests       []RequestKind `yaml:"requests"`
 }
 
-// Request is a kind of request that an account sends.
-type Request struct {
+// RequestKind is a kind of request that an account sends.
+type RequestKind struct {
 	Weight       float64  `yaml:"weight"`
 	Service      string   `yaml:"service"`
 	Class        string   `yaml:"class"`
 	Operation    string   `yaml:"operation"`   // of a plain service; a generation when empty
 	Idempotency  bool     `yaml:"idempotency"` // send an Idempotency-Key
-	Whole        bool     `yaml:"whole"`       // ask for the answer in one piece
+	NonStreaming bool     `yaml:"whole"`       // ask for the answer in one piece
 	PromptTokens Range    `yaml:"prompt_tokens"`
 	OutputTokens Range    `yaml:"output_tokens"`
 	Prefixes     Prefixes `yaml:"prefixes"`
@@ -109,11 +109,11 @@
 	if a.Name == "" {
 		r.Addf(path+".name", "is required")
 	}
-	if a.Multiply == 0 {
-		a.Multiply = 1
+	if a.LoadMultiplier == 0 {
+		a.LoadMultiplier = 1
 	}
 	positive(r, path+".share", a.Share)
-	positive(r, path+".multiply", a.Multiply)
+	positive(r, path+".multiply", a.LoadMultiplier)
 	if len(a.Requests) == 0 {
 		r.Addf(path+".requests", "at least one kind of request is needed")
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func (q *Request) check(r *yamldoc.Report, path string) {
+func (q *RequestKind) check(r *yamldoc.Report, path string) {
 	if q.Weight == 0 {
 		q.Weight = 1
 	}
--- a/loadgen/outcome.go
+++ b/loadgen/outcome.go
@@ -6,12 +6,12 @@
 
 // Codes that the load tool gives to outcomes besides the gateway's own.
 const (
-	CodeDone        = "done"
-	CodeConnection  = "connection_failed" // no answer, or one that is no refusal
-	CodeIncomplete  = "stream_incomplete" // the stream ended with an incomplete event
-	CodeCut         = "stream_cut"        // the stream ended without its last event
-	CodeWrongAnswer = "wrong_answer"      // not the whole answer to this prompt, and only that
-	CodeClientLimit = "client_timeout"    // longer than the mix's timeout
+	CodeDone          = "done"
+	CodeConnection    = "connection_failed" // no answer, or one that is no refusal
+	CodeIncomplete    = "stream_incomplete" // the stream ended with an incomplete event
+	CodeCut           = "stream_cut"        // the stream ended without its last event
+	CodeWrongAnswer   = "wrong_answer"      // not the whole answer to this prompt, and only that
+	CodeClientTimeout = "client_timeout"    // longer than the mix's timeout
 )
 
 // Outcome is what the caller saw of one request.
--- a/loadgen/plan.go
+++ b/loadgen/plan.go
@@ -15,12 +15,12 @@
 // bytesPerToken is what the gateway estimates a token at.
 const bytesPerToken = 4
 
-// Planned is one request of the plan.
-type Planned struct {
+// PlannedRequest is one request of the plan.
+type PlannedRequest struct {
 	Number    int
 	At        time.Duration // start, from the beginning of the run
 	Account   *Account
-	Request   *Request
+	Kind      *RequestKind
 	Prompt    string
 	MaxTokens int
 	Body      []byte // of a plain operation
@@ -29,8 +29,8 @@
 
 // Cost is what the account is charged for the request at the most, in tokens.
 // The price of a plain operation stands in its service's document and is not known here.
-func (p *Planned) Cost() float64 {
-	if p.Request.Operation != "" {
+func (p *PlannedRequest) Cost() float64 {
+	if p.Kind.Operation != "" {
 		return 0
 	}
 	return float64(tokens.Estimate(p.Prompt) + p.MaxTokens)
@@ -51,7 +51,7 @@
 	p := &planner{mix: m, rng: rand.New(rand.NewPCG(uint64(m.Seed), 0))}
 	plain := 0.0
 	for _, a := range m.Accounts {
-		p.total += a.Share * a.Multiply
+		p.total += a.Share * a.LoadMultiplier
 		plain += a.Share
 	}
 	p.mean = time.Duration(float64(time.Second) / (m.Rate * p.total / plain))
@@ -59,7 +59,7 @@
 }
 
 // next returns the next request, or nil at the end of the run.
-func (p *planner) next() *Planned {
+func (p *planner) next() *PlannedRequest {
 	gap := p.mean
 	if p.mix.Arrivals == ArrivalsPoisson {
 		gap = time.Duration(float64(p.mean) * p.rng.ExpFloat64())
@@ -70,7 +70,7 @@
 	}
 	p.number++
 	account := p.account()
-	planned := &Planned{Number: p.number, At: p.now, Account: account, Request: p.request(account)}
+	planned := &PlannedRequest{Number: p.number, At: p.now, Account: account, Kind: p.request(account)}
 	p.fill(planned)
 	return planned
 }
@@ -79,14 +79,14 @@
 	x := p.rng.Float64() * p.total
 	for i := range p.mix.Accounts {
 		a := &p.mix.Accounts[i]
-		if x -= a.Share * a.Multiply; x < 0 {
+		if x -= a.Share * a.LoadMultiplier; x < 0 {
 			return a
 		}
 	}
 	return &p.mix.Accounts[len(p.mix.Accounts)-1]
 }
 
-func (p *planner) request(a *Account) *Request {
+func (p *planner) request(a *Account) *RequestKind {
 	total := 0.0
 	for _, q := range a.Requests {
 		total += q.Weight
@@ -100,8 +100,8 @@
 	return &a.Requests[len(a.Requests)-1]
 }
 
-func (p *planner) fill(planned *Planned) {
-	q := planned.Request
+func (p *planner) fill(planned *PlannedRequest) {
+	q := planned.Kind
 	id := p.uuid()
 	if q.Idempotency {
 		planned.Key = id.String()
--- a/loadgen/report.go
+++ b/loadgen/report.go
@@ -15,7 +15,7 @@
 // Report is the outcome of a run.
 type Report struct {
 	Seed     int64         `json:"seed"`
-	Took     time.Duration `json:"took_ns"`
+	Elapsed  time.Duration `json:"took_ns"`
 	Warmup   int64         `json:"warmup_requests"` // sent but not measured
 	Arms     []Row         `json:"arms"`
 	Classes  []Row         `json:"classes"`
@@ -25,16 +25,16 @@
 
 // Row sums up the requests of one arm or class.
 type Row struct {
-	Name       string    `json:"name"`
-	Sent       int64     `json:"sent"`
-	Done       int64     `json:"done"`
-	Refused    int64     `json:"refused"`
-	Bad        int64     `json:"bad"` // neither a whole answer nor a refusal
-	Retries    int64     `json:"retries"`
-	Tokens     int64     `json:"tokens"`
-	FirstToken Quantiles `json:"first_token_us"`
-	Gap        Quantiles `json:"token_gap_us"`
-	Whole      Quantiles `json:"whole_us"`
+	Name         string    `json:"name"`
+	Sent         int64     `json:"sent"`
+	Done         int64     `json:"done"`
+	Refused      int64     `json:"refused"`
+	Failed       int64     `json:"bad"` // neither a whole answer nor a refusal
+	Retries      int64     `json:"retries"`
+	Tokens       int64     `json:"tokens"`
+	FirstToken   Quantiles `json:"first_token_us"`
+	Gap          Quantiles `json:"token_gap_us"`
+	ResponseTime Quantiles `json:"whole_us"`
 }
 
 // Quantiles are of durations in microseconds.
@@ -49,12 +49,12 @@
 // AccountRow is what one account got.
 type AccountRow struct {
 	Row
-	Offered    float64 `json:"offered_tokens"` // at the most, prompt and output
-	Due        float64 `json:"due_tokens"`     // what its rate and burst allow of that while requests start; 0 when they are not known
-	Allowed    float64 `json:"allowed_tokens"` // what they allow until the last answer: requests wait for tokens
-	Served     float64 `json:"served_tokens"`
-	ServedPart float64 `json:"served_part"` // of what is due
-	WithinRate int64   `json:"refused_within_rate"`
+	OfferedTokens     float64 `json:"offered_tokens"` // at the most, prompt and output
+	DueTokens         float64 `json:"due_tokens"`     // what its rate and burst allow of that while requests start; 0 when they are not known
+	AllowedTokens     float64 `json:"allowed_tokens"` // what they allow until the last answer: requests wait for tokens
+	ServedTokens      float64 `json:"served_tokens"`
+	ServedFraction    float64 `json:"served_part"` // of what is due
+	RefusedWithinRate int64   `json:"refused_within_rate"`
 }
 
 // CodeCount counts the requests of one outcome.
@@ -80,8 +80,8 @@
 
 func row(name string, s *series) Row {
 	return Row{
-		Name: name, Sent: s.sent, Done: s.done, Refused: s.refused, Bad: s.bad, Retries: s.retries, Tokens: s.tokens,
-		FirstToken: quantiles(s.first), Gap: quantiles(s.gap), Whole: quantiles(s.whole),
+		Name: name, Sent: s.sent, Done: s.done, Refused: s.refused, Failed: s.bad, Retries: s.retries, Tokens: s.tokens,
+		FirstToken: quantiles(s.first), Gap: quantiles(s.gap), ResponseTime: quantiles(s.whole),
 	}
 }
 
@@ -95,20 +95,20 @@
 }
 
 func accountRow(m *Mix, a *Account, s *series, charges []charge, took time.Duration) AccountRow {
-	out := AccountRow{Row: row(a.Name, s), Offered: s.offered}
+	out := AccountRow{Row: row(a.Name, s), OfferedTokens: s.offered}
 	for _, c := range charges {
 		if c.at >= m.Warmup {
-			out.Served += c.used
+			out.ServedTokens += c.used
 		}
 	}
 	if a.Rate > 0 {
 		measured := (m.Duration - m.Warmup).Seconds()
-		out.Due = min(out.Offered, a.Rate*measured+a.Burst)
-		out.Allowed = a.Rate*(took-m.Warmup).Seconds() + a.Burst
-		out.WithinRate = withinRate(a.Rate, a.Burst, m.Warmup, charges)
+		out.DueTokens = min(out.OfferedTokens, a.Rate*measured+a.Burst)
+		out.AllowedTokens = a.Rate*(took-m.Warmup).Seconds() + a.Burst
+		out.RefusedWithinRate = withinRate(a.Rate, a.Burst, m.Warmup, charges)
 	}
-	if out.Due > 0 {
-		out.ServedPart = out.Served / out.Due
+	if out.DueTokens > 0 {
+		out.ServedFraction = out.ServedTokens / out.DueTokens
 	}
 	return out
 }
@@ -123,14 +123,14 @@
 // WriteTable writes the report for people.
 func (r *Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(table, "seed %d, %s, %d requests of the warm-up not counted\n\n", r.Seed, r.Took.Round(time.Millisecond), r.Warmup)
+	fmt.Fprintf(table, "seed %d, %s, %d requests of the warm-up not counted\n\n", r.Seed, r.Elapsed.Round(time.Millisecond), r.Warmup)
 	writeRows(table, "ARM", r.Arms)
 	writeRows(table, "CLASS", r.Classes)
 	fmt.Fprintln(table, "ACCOUNT\tSENT\tDONE\tREFUSED\tWITHIN RATE\tBAD\tOFFERED\tSERVED\tDUE\tSERVED/DUE\tALLOWED\tFIRST p99")
 	for _, a := range r.Accounts {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%s\t%d\t%.0f\t%.0f\t%s\t%s\t%s\t%s\n", a.Name, a.Sent, a.Done, a.Refused,
-			known(a.Due, "%.0f", float64(a.WithinRate)), a.Bad, a.Offered, a.Served,
-			known(a.Due, "%.0f", a.Due), known(a.Due, "%.3f", a.ServedPart), known(a.Due, "%.0f", a.Allowed), micros(a.FirstToken.P99))
+			known(a.DueTokens, "%.0f", float64(a.RefusedWithinRate)), a.Failed, a.OfferedTokens, a.ServedTokens,
+			known(a.DueTokens, "%.0f", a.DueTokens), known(a.DueTokens, "%.3f", a.ServedFraction), known(a.DueTokens, "%.0f", a.AllowedTokens), micros(a.FirstToken.P99))
 	}
 	fmt.Fprintln(table, "\nSTATUS\tCODE\tRUN\tREASON\tCOUNT")
 	for _, c := range r.Codes {
@@ -143,9 +143,9 @@
 	fmt.Fprintf(w, "%s\tSENT\tDONE\tREFUSED\tBAD\tRETRIES\tTOKENS\tFIRST p50\tp95\tp99\tGAP p50\tp95\tp99\tWHOLE p50\tp99\n", head)
 	for _, s := range list {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
-			s.Name, s.Sent, s.Done, s.Refused, s.Bad, s.Retries, s.Tokens,
+			s.Name, s.Sent, s.Done, s.Refused, s.Failed, s.Retries, s.Tokens,
 			micros(s.FirstToken.P50), micros(s.FirstToken.P95), micros(s.FirstToken.P99),
-			micros(s.Gap.P50), micros(s.Gap.P95), micros(s.Gap.P99), micros(s.Whole.P50), micros(s.Whole.P99))
+			micros(s.Gap.P50), micros(s.Gap.P95), micros(s.Gap.P99), micros(s.ResponseTime.P50), micros(s.ResponseTime.P99))
 	}
 	fmt.Fprintln(w)
 }
--- a/loadgen/target.go
+++ b/loadgen/target.go
@@ -17,7 +17,7 @@
 // Target is what requests are sent to.
 type Target interface {
 	// Send carries one request to its end and fills in what the caller saw.
-	Send(ctx context.Context, p *Planned, out *Outcome)
+	Send(ctx context.Context, p *PlannedRequest, out *Outcome)
 }
 
 const (
@@ -65,7 +65,7 @@
 }
 
 // Send implements Target.
-func (g *Gateway) Send(ctx context.Context, p *Planned, out *Outcome) {
+func (g *Gateway) Send(ctx context.Context, p *PlannedRequest, out *Outcome) {
 	e := g.callers[p.Account.Name]
 	for attempt := 0; ; attempt++ {
 		*out = Outcome{Attempts: attempt + 1}
@@ -88,7 +88,7 @@
 	}
 }
 
-func (g *Gateway) once(ctx context.Context, address string, p *Planned, out *Outcome) {
+func (g *Gateway) once(ctx context.Context, address string, p *PlannedRequest, out *Outcome) {
 	req, err := gatewayRequest(ctx, address, p)
 	if err != nil {
 		out.Code = CodeConnection
@@ -98,7 +98,7 @@
 	if err != nil {
 		out.Code = CodeConnection
 		if ctx.Err() != nil {
-			out.Code = CodeClientLimit
+			out.Code = CodeClientTimeout
 		}
 		return
 	}
@@ -107,27 +107,27 @@
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		readRefusal(resp.Body, out)
-	case p.Request.Operation != "":
+	case p.Kind.Operation != "":
 		readOperation(resp.Body, p, out)
-	case p.Request.Whole:
+	case p.Kind.NonStreaming:
 		readWhole(resp.Body, p, out)
 	default:
 		readEvents(resp.Body, p, out)
 	}
 	if ctx.Err() != nil && out.Code == CodeCut {
-		out.Code = CodeClientLimit
+		out.Code = CodeClientTimeout
 	}
 }
 
-func gatewayRequest(ctx context.Context, address string, p *Planned) (*http.Request, error) {
+func gatewayRequest(ctx context.Context, address string, p *PlannedRequest) (*http.Request, error) {
 	path, body := "/v1/completions", p.Body
-	if p.Request.Operation != "" {
-		path = "/v1/services/" + p.Request.Service + "/operations/" + p.Request.Operation
+	if p.Kind.Operation != "" {
+		path = "/v1/services/" + p.Kind.Service + "/operations/" + p.Kind.Operation
 	} else {
 		var err error
 		body, err = (&gatewayapi.CompletionRequest{
-			Model: p.Request.Service, Prompt: p.Prompt,
-			MaxTokens: gatewayapi.NewOptInt(p.MaxTokens), Stream: gatewayapi.NewOptBool(!p.Request.Whole),
+			Model: p.Kind.Service, Prompt: p.Prompt,
+			MaxTokens: gatewayapi.NewOptInt(p.MaxTokens), Stream: gatewayapi.NewOptBool(!p.Kind.NonStreaming),
 		}).MarshalJSON()
 		if err != nil {
 			return nil, err
@@ -139,7 +139,7 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+p.Account.Key)
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("X-Request-Class", p.Request.Class)
+	req.Header.Set("X-Request-Class", p.Kind.Class)
 	if p.Key != "" {
 		req.Header.Set("Idempotency-Key", p.Key)
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-func readOperation(body io.Reader, p *Planned, out *Outcome) {
+func readOperation(body io.Reader, p *PlannedRequest, out *Outcome) {
 	var sent, got struct {
 		ID string `json:"id"`
 	}
@@ -176,7 +176,7 @@
 	}
 }
 
-func readWhole(body io.Reader, p *Planned, out *Outcome) {
+func readWhole(body io.Reader, p *PlannedRequest, out *Outcome) {
 	var answer gatewayapi.Completion
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err != nil || answer.UnmarshalJSON(data) != nil || len(answer.Choices) != 1 {
@@ -195,7 +195,7 @@
 }
 
 // Send implements Target.
-func (e *Engine) Send(ctx context.Context, p *Planned, out *Outcome) {
+func (e *Engine) Send(ctx context.Context, p *PlannedRequest, out *Outcome) {
 	out.Attempts = 1
 	body, err := (&engineapi.GenerateRequest{
 		RequestID: uuid.NewString(), Attempt: 1, Account: p.Account.Name, Prompt: p.Prompt, MaxTokens: p.MaxTokens,
--- a/service/document.go
+++ b/service/document.go
@@ -232,7 +232,7 @@
 func Parse(file string, data []byte) (*Document, error) {
 	var head header
 	source := yamldoc.Read(file, data)
-	r := source.Peek(&head)
+	r := source.DecodeLenient(&head)
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
--- a/yamldoc/decode.go
+++ b/yamldoc/decode.go
@@ -40,8 +40,8 @@
 // so far; the caller adds the findings of its own checks and calls Err.
 func (s *Source) Decode(out any) *Report { return s.decode(out, false) }
 
-// Peek is Decode, but fields that out does not have are no findings.
-func (s *Source) Peek(out any) *Report { return s.decode(out, true) }
+// DecodeLenient is Decode, but fields that out does not have are no findings.
+func (s *Source) DecodeLenient(out any) *Report { return s.decode(out, true) }
 
 func (s *Source) decode(out any, lenient bool) *Report {
 	r := newReport(s.file)
--- a/yamldoc/yamldoc_test.go
+++ b/yamldoc/yamldoc_test.go
@@ -51,7 +51,7 @@
 		var out sample
 		r := Decode("doc.yaml", []byte(d.Input), &out)
 		if d.Cmd == "peek" {
-			r = Read("doc.yaml", []byte(d.Input)).Peek(&out)
+			r = Read("doc.yaml", []byte(d.Input)).DecodeLenient(&out)
 		}
 		if d.Cmd == "check" {
 			for _, arg := range d.CmdArgs {
