--- a/transport/claim/claim.go
+++ b/transport/claim/claim.go
@@ -63,8 +63,8 @@
 // Wait returns when all background work has ended.
 func (c *Claimer) Wait() { c.tasks.Wait() }
 
-// Claim is a claim that stands, made by this instance.
-type Claim struct {
+// Handle is a claim that stands, made by this instance.
+type Handle struct {
 	claimer  *Claimer
 	key      string
 	nonce    string
@@ -74,7 +74,7 @@
 // Claim creates the claim, or returns why the request must not be dispatched.
 // Nothing has been dispatched when it refuses: the run state it gives speaks of
 // what other requests under the same key may have done.
-func (c *Claimer) Claim(ctx context.Context, r Request) (*Claim, error) {
+func (c *Claimer) Claim(ctx context.Context, r Request) (*Handle, error) {
 	key, refused := once.ParseKey(r.Key, time.Now())
 	if refused != nil {
 		return nil, refused
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	hash := once.Hash(r.Service, r.Operation, r.Body)
-	held := &Claim{claimer: c, key: key.StoreKey(r.Account), nonce: uuid.NewString()}
+	held := &Handle{claimer: c, key: key.StoreKey(r.Account), nonce: uuid.NewString()}
 	value := once.Claim{
 		Hash: hash, Nonce: held.nonce, Instance: c.instance, RequestID: r.RequestID, AtUnixMs: time.Now().UnixMilli(),
 	}
@@ -166,7 +166,7 @@
 
 // Finish notes how the claimed operation ended. One that has certainly not run
 // is retracted, so that the caller may send it again.
-func (h *Claim) Finish(run refusal.Run) {
+func (h *Handle) Finish(run refusal.Run) {
 	h.claimer.outcomes.Set(h.nonce, run)
 	if run != refusal.NotRun {
 		return
@@ -180,7 +180,7 @@
 
 // delete retracts the claim. The store's compare-and-swap names the revision
 // that this attempt wrote, so the claim of another is never deleted.
-func (c *Claimer) delete(ctx context.Context, h *Claim) error {
+func (c *Claimer) delete(ctx context.Context, h *Handle) error {
 	_, err := c.store.Put(ctx, platform.Write{Key: h.key, ExpectRevision: h.revision, Delete: true})
 	if errors.Is(err, platform.ErrConflict) {
 		return nil // it has gone already
@@ -192,7 +192,7 @@
 // it: its operation was never dispatched. Symptom without it: a caller told
 // "not run" comes back and finds the key taken by nobody. A claim that shows up
 // after settleFor stays; its key then counts as unknown, never as free.
-func (c *Claimer) settle(h *Claim) {
+func (c *Claimer) settle(h *Handle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.settling >= maxSettling || c.stop.Err() != nil {
@@ -207,7 +207,7 @@
 	})
 }
 
-func (c *Claimer) retract(h *Claim) {
+func (c *Claimer) retract(h *Handle) {
 	ctx, cancel := context.WithTimeout(c.stop, settleFor)
 	defer cancel()
 	for pause := settlePause; ; pause *= 2 {
@@ -237,7 +237,7 @@
 	foundOther
 )
 
-func (c *Claimer) look(ctx context.Context, h *Claim) found {
+func (c *Claimer) look(ctx context.Context, h *Handle) found {
 	kv, err := c.store.Get(ctx, h.key)
 	if err != nil {
 		return foundNothing
--- a/transport/dispatch/operate.go
+++ b/transport/dispatch/operate.go
@@ -34,7 +34,7 @@
 // claim returns nil when the operation needs no claim: it may be repeated, or
 // its caller sent no key. Without a key it is dispatched once, but the caller
 // who sends it again asks for another run.
-func (l *LocalDispatcher) claim(ctx context.Context, w *Work) (*claim.Claim, error) {
+func (l *LocalDispatcher) claim(ctx context.Context, w *Work) (*claim.Handle, error) {
 	svc := l.Catalog.Service(w.Service)
 	if w.Operation.IdempotencyKey == "" || l.Claims == nil || (svc != nil && w.Repeatable(svc)) {
 		return nil, nil
