--- a/instance/config.go
+++ b/instance/config.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	watchPause = 500 * time.Millisecond // after a failed call
-	watchIdle  = time.Second            // between looks whether this instance is to watch
+	storeRetryDelay      = 500 * time.Millisecond // after a failed call
+	watcherCheckInterval = time.Second            // between checks of whether this instance is a watcher
 )
 
-// watchConfig keeps the documents in force up to date with the store, as long as
-// the instance is one of its domain's watchers.
+// watchConfig keeps the documents in force up to date with the store while this instance is
+// one of its domain's watchers.
 func (i *Instance) watchConfig(ctx context.Context) {
 	w := &storeWatch{
-		store: i.platform, config: i.config, offer: i.offerStored, log: i.log,
-		delay: func(ctx context.Context) { _ = wait(ctx, time.After(rand.N(repairDelay))) },
+		store: i.platform, config: i.config, offer: i.offerFromStore, log: i.log,
+		delay: func(ctx context.Context) { _ = wait(ctx, time.After(rand.N(maxRepairDelay))) },
 	}
 	for ctx.Err() == nil {
-		if !i.watches() {
+		if !i.isWatcher() {
 			w.listed = false
-			i.storeFailing(false)
-			_ = wait(ctx, time.After(watchIdle))
+			i.setStoreUnreachable(false)
+			_ = wait(ctx, time.After(watcherCheckInterval))
 			continue
 		}
-		err := w.once(ctx, time.Now())
-		i.storeSeen.Store(err == nil)
-		i.storeFailing(err != nil)
+		err := w.syncOnce(ctx, time.Now())
+		i.storeReachable.Store(err == nil)
+		i.setStoreUnreachable(err != nil)
 		if err != nil {
-			_ = wait(ctx, time.After(watchPause))
+			_ = wait(ctx, time.After(storeRetryDelay))
 		}
 	}
 }
 
-// watches tells whether this instance is one of the watchers of its domain. An
-// instance without a configuration looks for itself.
-func (i *Instance) watches() bool {
+// isWatcher reports whether this instance is one of the watchers of its domain. An instance
+// without a configuration watches the store itself.
+func (i *Instance) isWatcher() bool {
 	if i.config.Revision() == 0 {
 		return true
 	}
@@ -51,7 +51,7 @@
 	return configwatch.IsWatcher(i.settings.ID, candidates)
 }
 
-func (i *Instance) offerStored(batch configwatch.Batch) {
+func (i *Instance) offerFromStore(batch configwatch.Batch) {
 	i.storeRead.Store(true)
 	i.offer("store", batch)
 }
@@ -64,7 +64,7 @@
 	i.publishConfig()
 	i.checkReady(source)
 	if count > 0 {
-		i.spread()
+		i.triggerExchange()
 		i.log.Info("configuration in force", "source", string(source), "documents", count, "revision", i.config.Revision())
 	}
 }
--- a/instance/domains.go
+++ b/instance/domains.go
@@ -11,40 +11,40 @@
 	"github.com/basilroute/basilroute/coordination/routing"
 )
 
-// domainsFresh is how long a view of the other instances is used. Reports of
-// their load come once a second.
-const domainsFresh = 100 * time.Millisecond
+// domainViewTTL is how long a view of the other instances is reused. Their load reports
+// arrive once a second.
+const domainViewTTL = 100 * time.Millisecond
 
-// domainViews holds what the other instances said of each service, so that a
-// request does not go through the membership.
+// domainViews caches what the other instances reported of each service, so that a request
+// does not scan the membership table.
 type domainViews struct {
 	mu    sync.Mutex
 	views map[string]domainView
 }
 
 type domainView struct {
-	built   time.Time
+	builtAt time.Time
 	domains []routing.Domain
 }
 
 // Local implements dispatch.Domains.
 func (i *Instance) Local(name string) routing.Domain {
-	own := routing.Domain{
+	view := routing.Domain{
 		Name: i.settings.Domain, Region: i.settings.Region,
 		PeerID: i.settings.ID, PeerHash: xxhash.Sum64String(i.settings.ID),
 	}
 	for _, e := range i.servers.Entries(name) {
 		if e.View().Usable() {
-			own.Servers++
-			own.InFlight += e.InFlight()
+			view.Servers++
+			view.InFlight += e.InFlight()
 		}
 	}
 	if svc := i.catalog.Service(name); svc != nil {
 		stats := i.local.Admission.Stats(svc)
-		own.Interactive = queueOf(stats.Interactive)
-		own.Bulk = queueOf(stats.Bulk)
+		view.Interactive = queueOf(stats.Interactive)
+		view.Bulk = queueOf(stats.Bulk)
 	}
-	return own
+	return view
 }
 
 func queueOf(s admission.ClassStats) routing.Queue {
@@ -57,20 +57,20 @@
 	i.views.mu.Lock()
 	defer i.views.mu.Unlock()
 	view, ok := i.views.views[name]
-	if ok && now.Sub(view.built) < domainsFresh {
+	if ok && now.Sub(view.builtAt) < domainViewTTL {
 		return view.domains
 	}
-	view = domainView{built: now}
+	view = domainView{builtAt: now}
 	for _, m := range i.members.Members(now) {
 		if m.Reachable && !m.Leaving() && m.Entry.GetId() != i.settings.ID {
-			view.domains = append(view.domains, i.remote(m, name))
+			view.domains = append(view.domains, i.remoteDomain(m, name))
 		}
 	}
 	i.views.views[name] = view
 	return view.domains
 }
 
-func (i *Instance) remote(m membership.Member, name string) routing.Domain {
+func (i *Instance) remoteDomain(m membership.Member, name string) routing.Domain {
 	d := routing.Domain{
 		Name: m.Entry.GetDomain(), Region: m.Entry.GetRegion(), PeerID: m.Entry.GetId(),
 		PeerHash: xxhash.Sum64String(m.Entry.GetId()), ReportSeq: uint64(m.LastContact.UnixNano()),
@@ -95,9 +95,9 @@
 	return d
 }
 
-// peersBeside returns the addresses of the reachable peers in the failure domain
-// of the peer at an address, that one last.
-func (i *Instance) peersBeside(address string) []string {
+// peersInDomainOf returns the peer addresses of the reachable instances in the failure
+// domain of the peer at address. That peer itself comes last.
+func (i *Instance) peersInDomainOf(address string) []string {
 	members := i.members.Members(time.Now())
 	domain := ""
 	for _, m := range members {
@@ -105,20 +105,20 @@
 			domain = m.Entry.GetDomain()
 		}
 	}
-	var beside, last []string
+	var siblings, last []string
 	for _, m := range members {
 		switch {
 		case domain == "" || m.Entry.GetDomain() != domain:
 		case m.Entry.GetPeerAddress() == address:
 			last = append(last, address)
 		case m.Reachable && !m.Leaving():
-			beside = append(beside, m.Entry.GetPeerAddress())
+			siblings = append(siblings, m.Entry.GetPeerAddress())
 		}
 	}
-	return append(beside, last...)
+	return append(siblings, last...)
 }
 
-// Serves tells whether some failure domain has a usable server of the service.
+// Serves reports whether any failure domain has a usable server of the service.
 func (i *Instance) Serves(name string) bool {
 	if i.Local(name).Servers > 0 {
 		return true
--- a/instance/entries.go
+++ b/instance/entries.go
@@ -15,26 +15,28 @@
 
 const maxEntries = 5
 
-// distance of a failure domain from this instance's own.
+// distance of a failure domain from the local one.
 type distance int
 
 const (
-	ownDomain distance = iota
-	ownRegion
-	otherRegion
+	localDomain distance = iota
+	localRegion
+	remoteRegion
 )
 
-// rankedEntry is an instance that an account may use. Lower ones are better.
+// rankedEntry is an instance that an account may use. Lower distances are better, then
+// lower scores.
 type rankedEntry struct {
 	entry    gatewayapi.Entry
 	distance distance
 	score    float64
 }
 
-// Entries implements gateway.Entries: live instances of the permitted domains,
-// the nearest domains first. Inside a domain rendezvous hashing keeps an account
-// on the same few instances, and a loaded one gets fewer accounts. An account
-// with a home gets instances of its home region only. The answer needs no store.
+// Entries implements gateway.Entries. It returns live instances of the regions that the
+// account may use, those of the nearest failure domains first. Within a domain, rendezvous
+// hashing keeps an account on the same few instances, and an instance under load gets fewer
+// accounts. An account with a home region gets instances of that region only. The response
+// needs no store access.
 func (i *Instance) Entries(account *service.Account) []gatewayapi.Entry {
 	name, home := "", ""
 	if account != nil {
@@ -61,25 +63,26 @@
 	e := m.Entry
 	r := rankedEntry{
 		entry:    gatewayapi.Entry{Address: e.GetCallerAddress(), Region: e.GetRegion(), Domain: e.GetDomain()},
-		distance: otherRegion,
-		score:    rendezvous(account+"\x00"+e.GetId(), 1/(1+float64(e.GetRequests())/entryLoad)),
+		distance: remoteRegion,
+		score:    rendezvousScore(account+"\x00"+e.GetId(), 1/(1+float64(e.GetRequests())/weightHalvingRequests)),
 	}
 	switch {
 	case e.GetDomain() == i.settings.Domain:
-		r.distance = ownDomain
+		r.distance = localDomain
 	case e.GetRegion() == i.settings.Region:
-		r.distance = ownRegion
+		r.distance = localRegion
 	}
 	return r
 }
 
-// entryLoad is how many requests in flight halve an instance's weight.
-const entryLoad = 256
+// weightHalvingRequests is the number of requests in flight that halves an instance's
+// weight.
+const weightHalvingRequests = 256
 
-// rendezvous returns a score by hash and weight; the lowest wins. Each instance
-// wins its share of accounts by weight, and a change of one weight moves only the
-// accounts that this instance wins or loses.
-func rendezvous(key string, weight float64) float64 {
+// rendezvousScore returns a score from a hash and a weight; the lowest score wins. Each
+// instance wins accounts in proportion to its weight, and a change of one weight moves only
+// the accounts that this instance wins or loses.
+func rendezvousScore(key string, weight float64) float64 {
 	unit := (float64(xxhash.Sum64String(key)>>11) + 0.5) / (1 << 53)
 	return -math.Log(unit) / weight
 }
--- a/instance/exchange.go
+++ b/instance/exchange.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	exchangeTimeout = 2 * time.Second
-	exchangeLimit   = 64 // exchanges at once, when all peers are told
+	exchangeTimeout        = 2 * time.Second
+	maxConcurrentExchanges = 64 // when all peers are called
 )
 
-// exchange brings the own view and the peers' together, each second and at once
-// after something came into force here.
+// exchange synchronizes state with the peers once a second, and immediately after something
+// came into force on this instance.
 func (i *Instance) exchange(ctx context.Context) {
 	ticker := time.NewTicker(membership.RoundInterval)
 	defer ticker.Stop()
 	for {
 		i.members.StartRound(time.Now())
-		i.exchangeRound(ctx)
+		i.startExchangeRound(ctx)
 		select {
 		case <-ticker.C:
-		case <-i.news:
+		case <-i.exchangeTrigger:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// exchangeRound starts the round's exchanges. It does not wait for them: a peer
-// that does not answer would hold up the own heartbeat until the timeout, and
-// the others would take this instance for dead.
-func (i *Instance) exchangeRound(ctx context.Context) {
-	asked := i.listTried.Load()
+// startExchangeRound starts the exchanges of one round. It does not wait for them: a peer
+// that does not respond would hold up the local heartbeat until the timeout, and the other
+// instances would consider this one dead.
+func (i *Instance) startExchangeRound(ctx context.Context) {
+	listed := i.listQueried.Load()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	var calls sync.WaitGroup
 	for _, address := range i.members.RoundTargets(time.Now(), rng) {
@@ -51,39 +51,41 @@
 			i.exchangeWith(ctx, address)
 		})
 	}
-	if asked && !i.peersAsked.Load() {
+	if listed && !i.peersQueried.Load() {
 		i.loops.Go(func() {
 			calls.Wait()
-			i.peersAsked.Store(true)
+			i.peersQueried.Store(true)
 			i.checkReady("peers")
 		})
 	}
 }
 
-// spread starts a round at once, so that what came into force here reaches the
-// peers without waiting for the next second.
-func (i *Instance) spread() {
+// triggerExchange starts a round at once, so that what came into force on this instance
+// reaches the peers without waiting for the next second.
+func (i *Instance) triggerExchange() {
 	select {
-	case i.news <- struct{}{}:
+	case i.exchangeTrigger <- struct{}{}:
 	default:
 	}
 }
 
-// exchangeAll exchanges with every known peer and returns how many answered.
+// exchangeAll exchanges with every known peer and returns how many responded.
 func (i *Instance) exchangeAll(ctx context.Context) int {
-	return i.tellAll(func(address string) bool { return i.exchangeWith(ctx, address) })
+	return i.callPeers(func(address string) bool { return i.exchangeWith(ctx, address) })
 }
 
-func (i *Instance) tellAll(tell func(address string) bool) int {
+// callPeers runs call for every known peer, at most maxConcurrentExchanges at a time, and
+// returns how many calls succeeded.
+func (i *Instance) callPeers(call func(address string) bool) int {
 	var calls sync.WaitGroup
 	var mu sync.Mutex
-	slots := make(chan struct{}, exchangeLimit)
+	slots := make(chan struct{}, maxConcurrentExchanges)
 	count := 0
 	for _, address := range i.members.Targets() {
 		slots <- struct{}{}
 		calls.Go(func() {
 			defer func() { <-slots }()
-			if tell(address) {
+			if call(address) {
 				mu.Lock()
 				defer mu.Unlock()
 				count++
@@ -103,7 +105,7 @@
 	defer cancel()
 	known := i.members.ByPeerAddress(address)
 	req := i.members.Request(known)
-	i.addConfig(req, known)
+	i.addConfigToRequest(req, known)
 	req.Quarantines = i.quarantines()
 	req.ServersHash = uint64(i.serversState())
 	resp, err := client.Exchange(ctx, req)
@@ -111,9 +113,9 @@
 		return false
 	}
 	next := i.members.ApplyResponse(resp, time.Now())
-	i.takeQuarantines(resp.GetQuarantines())
-	i.takeServers(resp.GetServers())
-	next = i.finishConfig(resp, next)
+	i.mergeQuarantines(resp.GetQuarantines())
+	i.applyServersFromPeer(resp.GetServers())
+	next = i.applyConfigResponse(resp, next)
 	if next != nil {
 		i.followUp(ctx, client, next)
 	}
@@ -123,27 +125,27 @@
 	return true
 }
 
-// followUp sends what the first exchange showed that the peer lacks, and asks
-// for what is lacking here.
+// followUp sends what the first exchange showed that the peer lacks, and requests what is
+// missing on this instance.
 func (i *Instance) followUp(ctx context.Context, client peerpb.PeerClient, req *peerpb.ExchangeRequest) {
 	req.ConfigRevision = i.config.Revision()
 	resp, err := client.Exchange(ctx, req)
 	if err != nil {
-		return // the next round tries again
+		return // the next round retries
 	}
 	i.members.ApplyResponse(resp, time.Now())
-	i.takeDifferent(resp)
+	i.applyDifferingDocuments(resp)
 }
 
 // Exchange implements peer.Exchanger.
 func (i *Instance) Exchange(req *peerpb.ExchangeRequest) *peerpb.ExchangeResponse {
-	i.takePushed(req)
+	i.applyPushedDocuments(req)
 	resp := i.members.Respond(req, time.Now())
-	i.answerConfig(req, resp)
+	i.addConfigToResponse(req, resp)
 	if req.GetView() == nil {
 		return resp
 	}
-	i.takeQuarantines(req.GetQuarantines())
+	i.mergeQuarantines(req.GetQuarantines())
 	resp.Quarantines = i.quarantines()
 	if req.GetView().GetDomain() == i.settings.Domain {
 		resp.Servers = i.serversFor(serversState(req.GetServersHash()))
@@ -151,7 +153,7 @@
 	return resp
 }
 
-func (i *Instance) takeQuarantines(list []*peerpb.Quarantine) {
+func (i *Instance) mergeQuarantines(list []*peerpb.Quarantine) {
 	for _, q := range list {
 		i.quarantine.Merge(peer.DecodeQuarantine(q))
 	}
--- a/instance/exchangeconfig.go
+++ b/instance/exchangeconfig.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	pushBytes  = 64 << 10  // of documents in an ordinary exchange
-	fetchBytes = 512 << 10 // of documents in an answer to a peer that lacks many
+	maxPushBytes  = 64 << 10  // of documents in an ordinary exchange
+	maxFetchBytes = 512 << 10 // of documents in a response to a peer that lacks many
 )
 
-// addConfig says what is known here, and pushes what the peer was last heard to
-// lack when that is little.
-func (i *Instance) addConfig(req *peerpb.ExchangeRequest, peer *peerpb.Member) {
+// addConfigToRequest adds the local state of the configuration. It pushes the documents
+// that the peer lacked at its last report if they fit into maxPushBytes.
+func (i *Instance) addConfigToRequest(req *peerpb.ExchangeRequest, peer *peerpb.Member) {
 	req.ConfigRevision, req.DocumentsHash, req.Ready = i.config.Revision(), i.config.Hash(), i.Ready()
 	if peer == nil || peer.GetConfigRevision() == 0 {
-		return // a new instance asks for all of it itself
+		return // a joining instance requests all documents itself
 	}
-	batch, more := i.config.Since(peer.GetConfigRevision(), pushBytes)
+	batch, more := i.config.Since(peer.GetConfigRevision(), maxPushBytes)
 	if !more {
 		req.Documents, req.DocumentsAfter = encodeDocuments(batch.Documents), batch.After
 	}
 }
 
-// takePushed takes in the documents of a request.
-func (i *Instance) takePushed(req *peerpb.ExchangeRequest) {
+// applyPushedDocuments applies the documents of a request.
+func (i *Instance) applyPushedDocuments(req *peerpb.ExchangeRequest) {
 	if len(req.GetDocuments()) == 0 {
 		return
 	}
@@ -35,17 +35,17 @@
 	})
 }
 
-// answerConfig adds the documents that the asking peer lacks. What differs
-// between equal revisions is found by the hashes of the parts.
-func (i *Instance) answerConfig(req *peerpb.ExchangeRequest, resp *peerpb.ExchangeResponse) {
+// addConfigToResponse adds the documents that the requesting peer lacks. At equal revisions
+// the differing documents are found by the hashes of the document buckets.
+func (i *Instance) addConfigToResponse(req *peerpb.ExchangeRequest, resp *peerpb.ExchangeResponse) {
 	if len(req.GetDocumentBuckets()) > 0 {
-		batch := i.config.Differing(req.GetDocumentBuckets(), fetchBytes)
+		batch := i.config.Differing(req.GetDocumentBuckets(), maxFetchBytes)
 		resp.Documents = encodeDocuments(batch.Documents)
 		return
 	}
-	limit := pushBytes
+	limit := maxPushBytes
 	if req.GetView() == nil {
-		limit = fetchBytes
+		limit = maxFetchBytes
 	}
 	batch, more := i.config.Since(req.GetConfigRevision(), limit)
 	resp.Documents, resp.DocumentsAfter, resp.ConfigRevision = encodeDocuments(batch.Documents), batch.After, batch.UpTo
@@ -55,28 +55,29 @@
 	resp.More, resp.DocumentsHash, resp.Ready = more, i.config.Hash(), i.Ready()
 }
 
-// finishConfig takes in the peer's documents and adds to the follow-up what the
-// peer lacks, or the question what differs.
-func (i *Instance) finishConfig(resp *peerpb.ExchangeResponse, next *peerpb.ExchangeRequest) *peerpb.ExchangeRequest {
+// applyConfigResponse applies the peer's documents. It adds to the follow-up request the
+// documents that the peer lacks, or, at equal revisions, the bucket hashes by which the
+// peer finds what differs.
+func (i *Instance) applyConfigResponse(resp *peerpb.ExchangeResponse, next *peerpb.ExchangeRequest) *peerpb.ExchangeRequest {
 	if len(resp.GetDocuments()) > 0 {
-		i.offer("peer", batchOf(resp))
+		i.offer("peer", responseBatch(resp))
 	}
-	own := i.config.Revision()
-	if resp.GetMore() || own < resp.GetConfigRevision() {
+	revision := i.config.Revision()
+	if resp.GetMore() || revision < resp.GetConfigRevision() {
 		return next
 	}
-	if own == resp.GetConfigRevision() && i.config.Hash() == resp.GetDocumentsHash() {
-		i.noteSynced(resp)
+	if revision == resp.GetConfigRevision() && i.config.Hash() == resp.GetDocumentsHash() {
+		i.markSynced(resp)
 		return next
 	}
 	if next == nil {
 		next = &peerpb.ExchangeRequest{From: i.settings.ID}
 	}
 	switch {
-	case own == resp.GetConfigRevision():
+	case revision == resp.GetConfigRevision():
 		next.DocumentBuckets = i.config.Buckets()
 	case resp.GetConfigRevision() > 0:
-		batch, more := i.config.Since(resp.GetConfigRevision(), pushBytes)
+		batch, more := i.config.Since(resp.GetConfigRevision(), maxPushBytes)
 		if !more {
 			next.Documents, next.DocumentsAfter = encodeDocuments(batch.Documents), batch.After
 		}
@@ -84,28 +85,28 @@
 	return next
 }
 
-// noteSynced remembers that a peer that takes callers knows the same.
-func (i *Instance) noteSynced(resp *peerpb.ExchangeResponse) {
+// markSynced records that a peer that accepts callers has the same documents.
+func (i *Instance) markSynced(resp *peerpb.ExchangeResponse) {
 	if resp.GetReady() && i.synced.CompareAndSwap(false, true) {
 		i.checkReady("peer")
 	}
 }
 
-// takeDifferent takes in the answer to the question what differs.
-func (i *Instance) takeDifferent(resp *peerpb.ExchangeResponse) {
+// applyDifferingDocuments applies the response to a request that carried bucket hashes.
+func (i *Instance) applyDifferingDocuments(resp *peerpb.ExchangeResponse) {
 	if len(resp.GetDocuments()) > 0 {
-		i.offer("peer", batchOf(resp))
+		i.offer("peer", responseBatch(resp))
 	}
 }
 
-func batchOf(resp *peerpb.ExchangeResponse) configwatch.Batch {
+func responseBatch(resp *peerpb.ExchangeResponse) configwatch.Batch {
 	return configwatch.Batch{
 		Documents: decodeDocuments(resp.GetDocuments()), After: resp.GetDocumentsAfter(), UpTo: resp.GetConfigRevision(),
 	}
 }
 
-// fetchConfig reads the documents that an exchange had no room for. Only one
-// peer is asked at a time.
+// fetchConfig reads the documents that did not fit into an exchange. It reads from one peer
+// at a time.
 func (i *Instance) fetchConfig(ctx context.Context, client peerpb.PeerClient) {
 	if !i.fetching.CompareAndSwap(false, true) {
 		return
@@ -116,7 +117,7 @@
 		if err != nil || len(resp.GetDocuments()) == 0 {
 			return
 		}
-		i.offer("peer", batchOf(resp))
+		i.offer("peer", responseBatch(resp))
 		if !resp.GetMore() {
 			return
 		}
--- a/instance/fakestore_test.go
+++ b/instance/fakestore_test.go
@@ -16,8 +16,8 @@
 
 var errOutage = errors.New("outage")
 
-// fakeStore is the platform's store for one goroutine. Each write's nonce is a
-// millisecond later than the one before.
+// fakeStore is the platform's store, not safe for concurrent use. Each write's nonce is one
+// millisecond later than that of the write before.
 type fakeStore struct {
 	platform.Store
 	revision int64
--- a/instance/fleet_test.go
+++ b/instance/fleet_test.go
@@ -20,7 +20,7 @@
 
 const (
 	awaitLimit    = 60 * time.Second // generous: CI machines are busy
-	awaitPause    = 10 * time.Millisecond
+	awaitInterval = 10 * time.Millisecond
 	modelDocument = "kind: service\nname: writer\ntype: model\n"
 	fleetDocument = "kind: fleet\nname: fleet\nregions:\n  north: {domains: [north-1]}\n  south: {domains: [south-1]}\n"
 )
@@ -52,10 +52,10 @@
 	return f
 }
 
-// await polls a condition; it fails the test only after a long time.
+// await polls a condition and fails the test after awaitLimit.
 func (f *fleet) await(what string, ok func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(awaitLimit); time.Now().Before(deadline); time.Sleep(awaitPause) {
+	for deadline := time.Now().Add(awaitLimit); time.Now().Before(deadline); time.Sleep(awaitInterval) {
 		if ok() {
 			return
 		}
@@ -75,7 +75,7 @@
 	return http.DefaultClient.Do(req)
 }
 
-// ask sends a small request and returns the status and the answer.
+// ask sends a small request and returns the status and the body.
 func (f *fleet) ask(id string) (int, string) {
 	resp, err := f.post(id, 1)
 	if err != nil {
@@ -91,7 +91,8 @@
 	f.await("an answer of "+id, func() bool { status, _ := f.ask(id); return status == http.StatusOK })
 }
 
-// awaitRefused waits for 401, through which no answer may slip, and returns it.
+// awaitRefused waits for status 401 and returns the body. It fails the test if a request
+// succeeds before that.
 func (f *fleet) awaitRefused(id string) string {
 	f.t.Helper()
 	answer := ""
@@ -118,12 +119,12 @@
 	return localfleet.Domain{Region: "south", Name: "south-1", Instances: instances, Engines: engines}
 }
 
-// The store is down when an operator withdraws a key through an instance in the
-// south. A caller in the north reads a long answer that a server in the south
-// writes: its stream ends with the reason, and the server gets the cancel. Its
-// next request on the same kept-alive connection is refused. An instance that
-// starts in the outage knows the withdrawal before it takes callers. When the
-// store answers again it gets the withdrawal, and loses it in vain.
+// An operator withdraws a key through an instance in the south while the store is down. A
+// stream of the key from a southern server to a caller in the north has to end with the
+// reason, the server has to get the cancel, and further requests on all instances have to
+// be refused. An instance that starts during the outage must know the withdrawal before it
+// accepts callers. The store has to get the withdrawal when it responds again, and once
+// more after it was restored from a backup without it.
 func TestWithdrawalWithoutTheStore(t *testing.T) {
 	var seeds []string
 	f := startFleet(t, func(s *instance.Settings) { s.Seeds = seeds }, north(1, 0), south(2, 1))
@@ -170,9 +171,9 @@
 	}
 }
 
-// The platform is out of reach when an instance starts. It learns the documents
-// and its domain's backend servers from the one peer that its settings name, and
-// serves callers.
+// The platform is unreachable when an instance starts. The instance learns the documents
+// and its domain's backend servers from the one peer that its settings name, and serves
+// callers.
 func TestInstanceStartsWithoutThePlatform(t *testing.T) {
 	var seeds []string
 	f := startFleet(t, func(s *instance.Settings) { s.Seeds = seeds }, north(1, 1), south(1, 0))
@@ -190,8 +191,8 @@
 	}
 }
 
-// A document is applied while the watchers of the fleet are killed: those that
-// are left take over and bring it into force.
+// A document is applied while the watchers of the fleet are killed: the remaining instances
+// have to take over and bring it into force.
 func TestWatchersDie(t *testing.T) {
 	f := startFleet(t, nil, north(4, 1))
 	for _, id := range f.Order {
--- a/instance/forwarded.go
+++ b/instance/forwarded.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	lagWait = 2 * time.Second // for the configuration that the first instance has
-	lagPoll = 20 * time.Millisecond
+	configLagTimeout      = 2 * time.Second // for the configuration that the forwarding instance has
+	configLagPollInterval = 20 * time.Millisecond
 )
 
-// checkForwarded checks the key of a forwarded request again, because the first
-// instance may be the one that has not heard of its withdrawal. A key that is
-// not known here may be new: the request then waits for the configuration that
-// the first instance had in force.
+// checkForwarded checks the key of a forwarded request again, because the forwarding
+// instance may not know yet that it was withdrawn. A key that is unknown on this instance
+// may be new: the request then waits for the configuration that the forwarding instance had
+// in force.
 func (i *Instance) checkForwarded(ctx context.Context, w *dispatch.Work) *refusal.Refusal {
-	deadline := time.After(lagWait)
+	deadline := time.After(configLagTimeout)
 	for {
-		known := i.config.Revision() // before the key is looked up, which may come into force in between
+		known := i.config.Revision() // read before the key is looked up: the key may come into force in between
 		if i.catalog.Usable(w.KeyID) {
 			return nil
 		}
@@ -33,7 +33,7 @@
 			return refusal.New(refusal.CodeUnauthorized, "the key is not known")
 		}
 		select {
-		case <-time.After(lagPoll):
+		case <-time.After(configLagPollInterval):
 		case <-deadline:
 			return refusal.New(refusal.CodePeerUnreachable, "the peer does not have the configuration yet")
 		case <-ctx.Done():
@@ -42,11 +42,11 @@
 	}
 }
 
-// cutBy returns the reason for which a forwarded request was cut in place of the
-// error that the cut caused. Without it, when the withdrawal of a key arrives here
-// before it arrives at the first instance, the caller hears of a broken server,
-// and the first instance tries the request again on another.
-func cutBy(ctx context.Context, err error) error {
+// cancelReasonOr returns the reason for which a forwarded request was cancelled in place of
+// the error that the cancellation caused. Without it, when the withdrawal of a key reaches
+// this instance before the forwarding one, the caller would get the error of a broken
+// server, and the forwarding instance would retry the request on another server.
+func cancelReasonOr(ctx context.Context, err error) error {
 	var reason *refusal.Refusal
 	if err != nil && errors.As(context.Cause(ctx), &reason) {
 		return reason
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -53,7 +53,7 @@
 	requests   *requests.Table
 	forwarded  *requests.Table
 	ledger     *quota.Ledger
-	slots      *slotKeeper
+	slots      *slotManager
 	lending    *lending.Borrower
 	retries    *retry.Budget
 	quarantine *quarantine.List
@@ -69,24 +69,24 @@
 	peers              *grpc.Server
 	listeners          listeners
 
-	ready      atomic.Bool
-	storeSeen  atomic.Bool // the last call of the store succeeded
-	storeRead  atomic.Bool // the documents in the store were read once
-	listTried  atomic.Bool // the platform's list was asked for once
-	peersAsked atomic.Bool // a round of exchanges with those on the list has ended
-	synced     atomic.Bool // knew the same as a peer that takes callers
-	fetching   atomic.Bool // documents are being read from a peer
-	exchanging sync.Map    // peer addresses with an exchange under way
-	news       chan struct{}
-	backends   backendList
-	withdrawn  sync.Map // ids of keys whose withdrawal this instance took
-	loops      sync.WaitGroup
-	background context.Context // of everything that runs until Kill
-	stopLoops  context.CancelFunc
-	failed     chan error         // a listener that ended unasked
-	crashes    chan chan struct{} // crashes to be announced; closed when they are
-	views      domainViews
-	leaving    atomic.Bool
+	ready           atomic.Bool
+	storeReachable  atomic.Bool // the last store call succeeded
+	storeRead       atomic.Bool // the documents in the store were read at least once
+	listQueried     atomic.Bool // the platform's list was requested at least once
+	peersQueried    atomic.Bool // a round of exchanges with the listed instances has ended
+	synced          atomic.Bool // had the same documents as a peer that accepts callers
+	fetching        atomic.Bool // documents are being read from a peer
+	exchanging      sync.Map    // peer addresses with an exchange in progress
+	exchangeTrigger chan struct{}
+	backends        backendList
+	withdrawn       sync.Map // ids of keys whose withdrawal an operator sent to this instance
+	loops           sync.WaitGroup
+	background      context.Context // of everything that runs until Kill
+	stopLoops       context.CancelFunc
+	listenerErrors  chan error         // of listeners that ended unexpectedly
+	crashes         chan chan struct{} // crashes to be announced; each channel is closed once its crash is
+	views           domainViews
+	leaving         atomic.Bool
 }
 
 type listeners struct{ callers, peers, operators net.Listener }
@@ -94,21 +94,21 @@
 // New binds the instance's addresses. It serves nothing before Start.
 func New(settings Settings, log *slog.Logger) (*Instance, error) {
 	i := &Instance{
-		settings:   settings,
-		log:        log.With("instance", settings.ID),
-		registry:   prometheus.NewRegistry(),
-		catalog:    catalog.New(),
-		servers:    servers.New(),
-		requests:   requests.New(),
-		forwarded:  requests.New(),
-		ledger:     quota.New(settings.Domain),
-		retries:    retry.NewBudget(),
-		quarantine: quarantine.New(),
-		backend:    backend.New(),
-		crashes:    make(chan chan struct{}),
-		views:      domainViews{views: make(map[string]domainView)},
-		failed:     make(chan error, 3),
-		news:       make(chan struct{}, 1),
+		settings:        settings,
+		log:             log.With("instance", settings.ID),
+		registry:        prometheus.NewRegistry(),
+		catalog:         catalog.New(),
+		servers:         servers.New(),
+		requests:        requests.New(),
+		forwarded:       requests.New(),
+		ledger:          quota.New(settings.Domain),
+		retries:         retry.NewBudget(),
+		quarantine:      quarantine.New(),
+		backend:         backend.New(),
+		crashes:         make(chan chan struct{}),
+		views:           domainViews{views: make(map[string]domainView)},
+		listenerErrors:  make(chan error, 3),
+		exchangeTrigger: make(chan struct{}, 1),
 	}
 	i.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	i.metrics = metrics.NewRecorder(i.registry)
@@ -123,7 +123,7 @@
 	}
 	i.members = membership.New(i.selfEntry(), time.Now())
 	i.registerMetrics()
-	i.slots = newSlotKeeper(i.member())
+	i.slots = newSlotManager(i.member())
 	if err := i.wire(); err != nil {
 		i.closeListeners()
 		return nil, err
@@ -139,7 +139,7 @@
 		tls     TLS
 	}{
 		{&i.listeners.callers, i.settings.Callers.Listen, i.settings.Callers.TLS},
-		{&i.listeners.peers, i.settings.Peers.Listen, TLS{PlainText: true}}, // grpc brings its own TLS
+		{&i.listeners.peers, i.settings.Peers.Listen, TLS{PlainText: true}}, // gRPC does its own TLS
 		{&i.listeners.operators, i.settings.Operator.Listen, i.settings.Operator.TLS},
 	} {
 		if *l.into, err = net.Listen("tcp", l.address); err != nil {
@@ -206,7 +206,7 @@
 	i.front = &dispatch.Front{
 		Region: i.settings.Region, Domain: i.settings.Domain, Catalog: i.catalog, Ledger: i.ledger,
 		Retries: i.retries, Quarantine: i.quarantine, Domains: i, Router: routing.NewRouter(i.settings.Region, i.settings.Domain),
-		Local: i.local, Forwarder: &dispatch.Resumer{Next: i.pool, Peers: i.peersBeside}, Log: i.log, Metrics: i.metrics,
+		Local: i.local, Forwarder: &dispatch.Resumer{Next: i.pool, Peers: i.peersInDomainOf}, Log: i.log, Metrics: i.metrics,
 	}
 	return i.wireServers(creds)
 }
@@ -246,7 +246,7 @@
 	go i.serve(func() error { return i.peers.Serve(i.listeners.peers) })
 	for _, loop := range []func(context.Context){
 		i.watchConfig, i.watchList, i.pollServers, i.exchange, i.exchangeCrashes,
-		i.holdSlots, i.readSlots, i.lend, i.storeWithdrawals, i.issueOrders,
+		i.runSlots, i.readSlots, i.runLending, i.storeWithdrawals, i.issueOrders,
 	} {
 		i.loops.Go(func() { loop(i.background) })
 	}
@@ -257,14 +257,14 @@
 func (i *Instance) serve(run func() error) {
 	err := run()
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		i.failed <- err
+		i.listenerErrors <- err
 	}
 }
 
-// Failed delivers the error of a listener that ended unasked.
-func (i *Instance) Failed() <-chan error { return i.failed }
+// Failed delivers the errors of listeners that ended unexpectedly.
+func (i *Instance) Failed() <-chan error { return i.listenerErrors }
 
-// Kill ends the instance at once.
+// Kill ends the instance at once, without waiting for requests in flight.
 func (i *Instance) Kill() {
 	i.stopLoops()
 	_ = i.callers.Close()
@@ -283,11 +283,11 @@
 		return refusal.New(refusal.CodeLeaving, "this instance stops")
 	}
 	defer i.forwarded.End(request)
-	// After Begin: a key withdrawn from here on cuts the request.
+	// The check follows Begin: a key withdrawn from here on cancels the request.
 	if refused := i.checkForwarded(ctx, w); refused != nil {
 		return refused
 	}
-	return cutBy(ctx, i.local.Run(ctx, w, sink))
+	return cancelReasonOr(ctx, i.local.Run(ctx, w, sink))
 }
 
 // CancelForwarded implements peer.Runner.
@@ -295,7 +295,7 @@
 	i.local.Cancel(service, server, requestID)
 }
 
-// Ready tells whether the instance has a configuration to serve callers with.
+// Ready reports whether the instance has a configuration to serve callers with.
 func (i *Instance) Ready() bool { return i.ready.Load() }
 
 // Addresses returns the bound addresses for callers, peers and operators.
--- a/instance/leaving_test.go
+++ b/instance/leaving_test.go
@@ -16,7 +16,8 @@
 	healthy = platform.Faults{}
 )
 
-// countedEngine counts the generations that reach an engine, refused ones too.
+// countedEngine counts the generation requests that reach an engine, including refused
+// ones.
 type countedEngine struct {
 	*engine.Engine
 	next  http.Handler
@@ -48,14 +49,14 @@
 	return counted
 }
 
-// A backend server says that it leaves while the platform is out of reach, so
-// that its list goes on showing the server as live. The instances go by the
-// server's own word: once they have read it, no request reaches the server.
+// A backend server reports that it is leaving while the platform is unreachable, so that
+// the platform's list still shows the server as live. The instances go by the server's own
+// report: once they have read it, no request reaches the server.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	f := startFleet(t, nil, north(2, 1))
 	leaving := f.addEngine("leaving")
 	for _, id := range f.Order {
-		f.await("work on the server", func() bool {
+		f.await("a request at the server", func() bool {
 			before := leaving.count.Load()
 			f.ask(id)
 			return leaving.count.Load() > before
@@ -64,7 +65,7 @@
 	f.Platform.SetFaults(outage)
 	leaving.SetFaults(engine.Faults{Leaving: true})
 	for _, id := range f.Order {
-		f.await("the server's word", func() bool { return f.Instances[id].KnowsLeaving("writer", "leaving") })
+		f.await("the server's report", func() bool { return f.Instances[id].KnowsLeaving("writer", "leaving") })
 	}
 	before := leaving.count.Load()
 	for n := range 200 {
--- a/instance/list.go
+++ b/instance/list.go
@@ -12,39 +12,40 @@
 )
 
 const (
-	listEvery = 2 * time.Second
-	// listStale is the age from which an instance takes the list of backend
-	// servers from a peer that still reaches the platform.
-	listStale = 10 * time.Second
+	listInterval = 2 * time.Second
+	// staleListAge is the age from which an instance accepts the list of backend servers
+	// from a peer that still reaches the platform.
+	staleListAge = 10 * time.Second
 )
 
-// serversState says what an instance has for a list of its backend servers.
+// serversState is the state of an instance's list of backend servers, as its peers learn
+// it.
 type serversState uint64
 
 const (
-	serversUnknown serversState = iota // sent by nobody
+	serversUnknown serversState = iota // never sent
 	serversNone
 	serversStale
 	serversFresh
 )
 
-// backendList is the last list of the own domain's backend servers.
+// backendList is the last list of the local domain's backend servers.
 type backendList struct {
-	mu       sync.Mutex
-	list     []servers.Identity
-	read     time.Time // from the platform
-	borrowed time.Time // from a peer
+	mu             sync.Mutex
+	list           []servers.Identity
+	fromPlatformAt time.Time // when last read from the platform
+	fromPeerAt     time.Time // when last received from a peer
 }
 
-// watchList takes in the platform's list of instances and backend servers.
+// watchList polls the platform's list of instances and backend servers.
 func (i *Instance) watchList(ctx context.Context) {
 	i.members.SetSeeds(i.staticSeeds())
-	every(ctx, listEvery, func(ctx context.Context) {
+	every(ctx, listInterval, func(ctx context.Context) {
 		list, err := i.platform.Instances(ctx)
-		if err == nil { // otherwise the last list stays
-			i.takeList(list)
+		if err == nil { // otherwise the last list is kept
+			i.applyList(list)
 		}
-		i.listTried.Store(true)
+		i.listQueried.Store(true)
 	})
 }
 
@@ -58,7 +59,7 @@
 	return seeds
 }
 
-func (i *Instance) takeList(list []platformapi.Instance) {
+func (i *Instance) applyList(list []platformapi.Instance) {
 	seeds := i.staticSeeds()
 	var backends []servers.Identity
 	for _, item := range list {
@@ -81,9 +82,9 @@
 	i.backends.mu.Lock()
 	i.backends.list = list
 	if fromPlatform {
-		i.backends.read = now
+		i.backends.fromPlatformAt = now
 	} else {
-		i.backends.borrowed = now
+		i.backends.fromPeerAt = now
 	}
 	i.backends.mu.Unlock()
 	i.servers.Replace(list, now)
@@ -93,9 +94,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case now.Sub(b.read) < listStale, now.Sub(b.borrowed) < listStale:
+	case now.Sub(b.fromPlatformAt) < staleListAge, now.Sub(b.fromPeerAt) < staleListAge:
 		return serversFresh
-	case b.read.IsZero() && b.borrowed.IsZero():
+	case b.fromPlatformAt.IsZero() && b.fromPeerAt.IsZero():
 		return serversNone
 	}
 	return serversStale
@@ -103,15 +104,15 @@
 
 func (i *Instance) serversState() serversState { return i.backends.state(time.Now()) }
 
-// serversFor returns the list for a peer of the own domain that lacks it. A peer
-// with a list of its own gets only one that came from the platform just now,
-// because an older one could bring back a server that has left.
-func (i *Instance) serversFor(asker serversState) []*peerpb.BackendServer {
+// serversFor returns the list for a peer of the local domain that lacks it. A peer that has
+// a list gets only one that was just read from the platform, because an older one could
+// bring back a server that has left.
+func (i *Instance) serversFor(peerState serversState) []*peerpb.BackendServer {
 	b := &i.backends
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	fresh := time.Since(b.read) < listStale
-	if asker != serversNone && (asker != serversStale || !fresh) {
+	fresh := time.Since(b.fromPlatformAt) < staleListAge
+	if peerState != serversNone && (peerState != serversStale || !fresh) {
 		return nil
 	}
 	out := make([]*peerpb.BackendServer, len(b.list))
@@ -121,8 +122,9 @@
 	return out
 }
 
-// takeServers takes in the list of a peer of the own domain.
-func (i *Instance) takeServers(list []*peerpb.BackendServer) {
+// applyServersFromPeer applies the list of a peer of the local domain, unless the local
+// list is fresh.
+func (i *Instance) applyServersFromPeer(list []*peerpb.BackendServer) {
 	if len(list) == 0 || i.serversState() == serversFresh {
 		return
 	}
--- a/instance/loops.go
+++ b/instance/loops.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// every calls fn now and then at the interval until ctx ends.
+// every calls fn immediately and then at each interval until ctx ends.
 func every(ctx context.Context, interval time.Duration, fn func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -10,11 +10,10 @@
 
 const metricsNamespace = "basilroute"
 
-// registerMetrics adds the series that are read from the instance's state when
-// they are asked for.
+// registerMetrics adds the series that are read from the instance's state at each scrape.
 func (i *Instance) registerMetrics() {
-	i.gauge("ready", "Whether the instance takes callers: 1 or 0.", func() float64 { return truth(i.Ready()) })
-	i.gauge("store_reachable", "Whether the last call of the store succeeded: 1 or 0.", func() float64 { return truth(i.storeSeen.Load()) })
+	i.gauge("ready", "Whether the instance takes callers: 1 or 0.", func() float64 { return boolValue(i.Ready()) })
+	i.gauge("store_reachable", "Whether the last call of the store succeeded: 1 or 0.", func() float64 { return boolValue(i.storeReachable.Load()) })
 	i.gauge("config_revision", "Store revision of the configuration in force.", func() float64 { return float64(i.config.Revision()) })
 	i.gauge("config_findings", "Documents and sources that are not obeyed.", func() float64 { return float64(len(i.config.Findings())) })
 	i.gauge("requests_in_flight", "Requests of callers that run or wait.", func() float64 { return float64(i.requests.Count()) })
@@ -38,7 +37,7 @@
 		prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help}, value))
 }
 
-func truth(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/instance/orders.go
+++ b/instance/orders.go
@@ -12,40 +12,40 @@
 	"github.com/basilroute/basilroute/transport/platform"
 )
 
-// orderer holds the lease of the own failure domain's orders when no other
-// instance does. Only the order loop uses it.
-type orderer struct {
+// orderIssuer holds the lease of the local failure domain's orders when no other instance
+// does. Only the order loop uses it.
+type orderIssuer struct {
 	instance *Instance
 	leaseID  int64
 	lease    orders.Lease
 }
 
-// issueOrders brings the engines of the own failure domain to what the service
-// documents want. Without a document that wants anything it calls nobody.
+// issueOrders brings the engines of the local failure domain to the state that the service
+// documents ask for. While no document asks for any, it makes no calls.
 func (i *Instance) issueOrders(ctx context.Context) {
-	o := &orderer{instance: i}
-	every(ctx, orders.RenewInterval, o.turn)
+	o := &orderIssuer{instance: i}
+	every(ctx, orders.RenewInterval, o.runOnce)
 	o.release()
 }
 
-func (o *orderer) turn(ctx context.Context) {
-	wanted := o.wanted()
+func (o *orderIssuer) runOnce(ctx context.Context) {
+	wanted := o.servicesWithOrders()
 	if len(wanted) == 0 {
 		return
 	}
-	if err := o.hold(ctx); err != nil {
-		o.instance.log.Debug("orders not held", "error", err)
+	if err := o.renewOrAcquire(ctx); err != nil {
+		o.instance.log.Debug("order lease not held", "error", err)
 		return
 	}
 	if !o.lease.Held(time.Now()) {
 		return // another instance holds it
 	}
 	for _, s := range wanted {
-		o.orderAll(ctx, s)
+		o.orderServers(ctx, s)
 	}
 }
 
-func (o *orderer) wanted() []*service.Service {
+func (o *orderIssuer) servicesWithOrders() []*service.Service {
 	var out []*service.Service
 	for _, s := range o.instance.catalog.Services() {
 		if orders.HasOrders(s) && s.AllowsDomain(o.instance.settings.Region, o.instance.settings.Domain) {
@@ -55,31 +55,31 @@
 	return out
 }
 
-// hold renews the lease, or takes it when it is free. The key goes with the
+// renewOrAcquire renews the lease, or acquires it when it is free. The key is bound to the
 // store's lease, so a holder that was paused for long finds it gone.
-func (o *orderer) hold(ctx context.Context) error {
-	asked := time.Now()
+func (o *orderIssuer) renewOrAcquire(ctx context.Context) error {
+	sentAt := time.Now()
 	if o.lease.Epoch > 0 {
 		err := o.instance.platform.KeepAlive(ctx, o.leaseID)
 		if err == nil {
-			o.lease = orders.NewLease(o.lease.Epoch, asked)
+			o.lease = orders.NewLease(o.lease.Epoch, sentAt)
 			return nil
 		}
 		if !errors.Is(err, platform.ErrLeaseNotFound) {
-			return err // what is left of the lease still counts
+			return err // the lease is valid until it expires
 		}
 		o.lease = orders.Lease{}
 	}
-	return o.take(ctx)
+	return o.acquire(ctx)
 }
 
-func (o *orderer) take(ctx context.Context) error {
+func (o *orderIssuer) acquire(ctx context.Context) error {
 	key := orders.Key(o.instance.settings.Domain)
 	_, err := o.instance.platform.Get(ctx, key)
 	if !errors.Is(err, platform.ErrNotFound) {
-		return err // another holds it, or the store does not answer
+		return err // another instance holds it, or the store does not respond
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	lease, err := o.instance.platform.Grant(ctx, orders.LeaseTTL)
 	if err != nil {
 		return err
@@ -88,22 +88,22 @@
 	if err != nil {
 		return err
 	}
-	o.leaseID, o.lease = lease, orders.NewLease(epoch, asked)
-	o.instance.log.Info("orders taken", "epoch", epoch)
+	o.leaseID, o.lease = lease, orders.NewLease(epoch, sentAt)
+	o.instance.log.Info("order lease acquired", "epoch", epoch)
 	return nil
 }
 
-func (o *orderer) orderAll(ctx context.Context, s *service.Service) {
+func (o *orderIssuer) orderServers(ctx context.Context, s *service.Service) {
 	for _, server := range o.instance.servers.ByService(s.Name) {
 		if ctx.Err() == nil && server.Listed {
-			o.order(ctx, s, server)
+			o.orderServer(ctx, s, server)
 		}
 	}
 }
 
-// order compares one server with its document, and sends the difference.
-// Whether it was obeyed shows in the next turn.
-func (o *orderer) order(ctx context.Context, s *service.Service, server servers.Server) {
+// orderServer compares a server's state with its document and sends an order for the
+// difference. The next run shows whether the server complied.
+func (o *orderIssuer) orderServer(ctx context.Context, s *service.Service, server servers.Server) {
 	have, err := o.instance.backend.EngineState(ctx, server.Address)
 	if err != nil {
 		return
@@ -113,16 +113,16 @@
 		return
 	}
 	err = o.instance.backend.Order(ctx, server.Address, order)
-	o.instance.log.Info("ordered", "server", server.ID, "version", order.Version, "draining", order.Draining,
+	o.instance.log.Info("order sent", "server", server.ID, "version", order.Version, "draining", order.Draining,
 		"epoch", order.Fencing, "error", err)
 }
 
-// release hands the lease back at a planned stop.
-func (o *orderer) release() {
+// release returns the lease at a graceful shutdown.
+func (o *orderIssuer) release() {
 	if o.lease.Epoch == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orders.Timeout)
 	defer cancel()
-	_ = o.instance.platform.Revoke(ctx, o.leaseID) // it ends by itself
+	_ = o.instance.platform.Revoke(ctx, o.leaseID) // on failure the lease expires by itself
 }
--- a/instance/poll.go
+++ b/instance/poll.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	pollEvery        = time.Second
-	pollFailureLimit = 3
-	// requestStep rounds the requests in flight that an instance tells the others:
-	// each change of the number is a new version of its entry for all of them.
-	requestStep = 128
+	pollInterval    = time.Second
+	maxPollFailures = 3
+	// requestRounding is the step in which an instance publishes its requests in flight:
+	// each change of the number is a new version of its entry for all other instances.
+	requestRounding = 128
 )
 
-// pollServers asks the backend servers of the own domain for their load.
+// pollServers polls the load of the local domain's backend servers.
 func (i *Instance) pollServers(ctx context.Context) {
-	every(ctx, pollEvery, func(ctx context.Context) {
+	every(ctx, pollInterval, func(ctx context.Context) {
 		var polls sync.WaitGroup
 		for _, server := range i.servers.All() {
 			polls.Go(func() { i.poll(ctx, server) })
 		}
 		polls.Wait()
-		i.review(time.Now())
+		i.applyServerPolicies(time.Now())
 		i.publishLoad()
 	})
 }
@@ -37,18 +37,18 @@
 	if svc == nil {
 		return
 	}
-	ask := i.backend.EngineLoad
+	fetchLoad := i.backend.EngineLoad
 	if svc.Type == service.TypePlain {
-		ask = i.backend.PlainLoad
+		fetchLoad = i.backend.PlainLoad
 	}
-	asked := time.Now()
-	load, err := ask(ctx, server.Address, asked)
+	sentAt := time.Now()
+	load, err := fetchLoad(ctx, server.Address, sentAt)
 	if err != nil {
-		i.servers.RecordCallFailure(server.Service, server.ID, pollFailureLimit)
+		i.servers.RecordCallFailure(server.Service, server.ID, maxPollFailures)
 		return
 	}
 	i.servers.Report(server.Service, server.ID, load)
-	i.quarantine.RecordBootID(server.ID, load.BootID, asked, time.Now())
+	i.quarantine.RecordBootID(server.ID, load.BootID, sentAt, time.Now())
 	entry := i.servers.Entry(server.Service, server.ID)
 	if entry == nil {
 		return
@@ -59,20 +59,21 @@
 	}
 }
 
-// pollCache takes in what the engine stored and evicted since the last poll.
+// pollCache applies the engine's cache events since the last poll: blocks stored and
+// evicted.
 func (i *Instance) pollCache(ctx context.Context, entry *servers.Entry) {
 	server := entry.View()
 	index := i.local.Prefixes.Index(server.Service)
 	index.SetBootID(entry.Slot(), server.Load.BootID)
 	events, err := i.backend.CacheEvents(ctx, server.Address, index.LastSeq(entry.Slot()))
 	if err != nil {
-		return // asked again with the next poll
+		return // retried with the next poll
 	}
 	index.Apply(entry.Slot(), events)
 }
 
-// review applies the policies that look at all servers of a service.
-func (i *Instance) review(now time.Time) {
+// applyServerPolicies applies the policies that compare all servers of a service.
+func (i *Instance) applyServerPolicies(now time.Time) {
 	for _, svc := range i.catalog.Services() {
 		routing.EjectSlow(i.servers, svc.Name, now)
 		i.local.Admission.Refresh(svc, now)
@@ -80,25 +81,27 @@
 	i.local.Admission.PruneLimiters()
 }
 
-// publishLoad sums up the own domain's servers in the instance's entry.
+// publishLoad publishes the summed load of the local domain's servers in the instance's
+// entry.
 func (i *Instance) publishLoad() {
-	loads := i.ownLoads()
-	requests := uint32(i.requests.Count()) / requestStep * requestStep
+	loads := i.localLoads()
+	requests := uint32(i.requests.Count()) / requestRounding * requestRounding
 	i.members.UpdateSelf(time.Now(), func(m *peerpb.Member) { m.Loads, m.Requests = loads, requests })
 }
 
-func (i *Instance) ownLoads() []*peerpb.ServiceLoad {
+func (i *Instance) localLoads() []*peerpb.ServiceLoad {
 	var out []*peerpb.ServiceLoad
 	for _, svc := range i.catalog.Services() {
-		if load := i.ownLoad(svc); load != nil {
+		if load := i.localLoad(svc); load != nil {
 			out = append(out, load)
 		}
 	}
 	return out
 }
 
-// ownLoad sums up the service's servers here, or returns nil when there are none.
-func (i *Instance) ownLoad(svc *service.Service) *peerpb.ServiceLoad {
+// localLoad sums the load of the service's servers in the local domain. It returns nil if
+// there are none.
+func (i *Instance) localLoad(svc *service.Service) *peerpb.ServiceLoad {
 	entries := i.servers.Entries(svc.Name)
 	if len(entries) == 0 {
 		return nil
--- a/instance/quarantine.go
+++ b/instance/quarantine.go
@@ -8,50 +8,50 @@
 	"github.com/basilroute/basilroute/transport/peer"
 )
 
-// announceLimit bounds how long a request waits for the news of its crash to
-// reach the peers.
-const announceLimit = 500 * time.Millisecond
+// announceTimeout bounds how long a request waits for its crash to be announced to the
+// peers.
+const announceTimeout = 500 * time.Millisecond
 
-// announceCrash spreads a crash and returns when the peers have it. Without the
-// wait the request's next attempt, or its caller who sends it again through
-// another instance, would be faster than the news and crash a third server.
+// announceCrash announces a crash and returns when the peers know of it. Without the wait,
+// the request's next attempt, or a retry by its caller through another instance, would
+// overtake the announcement and crash a third server.
 func (i *Instance) announceCrash() {
-	limit := time.NewTimer(announceLimit)
+	limit := time.NewTimer(announceTimeout)
 	defer limit.Stop()
-	told := make(chan struct{})
+	announced := make(chan struct{})
 	select {
-	case i.crashes <- told:
+	case i.crashes <- announced:
 	case <-limit.C:
 		return
 	}
 	select {
-	case <-told:
+	case <-announced:
 	case <-limit.C:
 	}
 }
 
-// exchangeCrashes exchanges with the peers when crashes were seen here. All that
-// wait share one exchange.
+// exchangeCrashes exchanges with all peers after crashes were seen on this instance. All
+// waiting requests share one exchange.
 func (i *Instance) exchangeCrashes(ctx context.Context) {
 	for {
 		var waiting []chan struct{}
 		select {
-		case told := <-i.crashes:
-			waiting = append(waiting, told)
+		case announced := <-i.crashes:
+			waiting = append(waiting, announced)
 		case <-ctx.Done():
 			return
 		}
 		for more := true; more; {
 			select {
-			case told := <-i.crashes:
-				waiting = append(waiting, told)
+			case announced := <-i.crashes:
+				waiting = append(waiting, announced)
 			default:
 				more = false
 			}
 		}
 		i.exchangeAll(ctx)
-		for _, told := range waiting {
-			close(told)
+		for _, announced := range waiting {
+			close(announced)
 		}
 	}
 }
--- a/instance/ready.go
+++ b/instance/ready.go
@@ -6,13 +6,13 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// checkReady lets callers in once the instance has the configuration and the
-// withdrawn keys: from a peer that takes callers itself and knows the same, or
-// from the store, after the peers in reach were asked for withdrawals that the
-// store does not have yet. Without that, an instance started during an outage
-// of the store accepts a key that was withdrawn in it.
+// checkReady starts accepting callers once the instance has the configuration and the
+// withdrawn keys: from a peer that accepts callers itself and has the same documents, or
+// from the store, after the reachable peers were asked for withdrawals that the store does
+// not have yet. Without that, an instance started during an outage of the store would
+// accept a key that was withdrawn during it.
 func (i *Instance) checkReady(source configSource) {
-	if i.config.Revision() == 0 || !i.synced.Load() && !(i.storeRead.Load() && i.peersAsked.Load()) {
+	if i.config.Revision() == 0 || !i.synced.Load() && !(i.storeRead.Load() && i.peersQueried.Load()) {
 		return
 	}
 	if i.ready.CompareAndSwap(false, true) {
@@ -20,7 +20,8 @@
 	}
 }
 
-// publishConfig tells the peers what this instance has in force.
+// publishConfig publishes the revision in force and the rejected documents in the
+// instance's entry.
 func (i *Instance) publishConfig() {
 	revision, rejected := i.config.Revision(), i.config.Rejected()
 	i.members.UpdateSelf(time.Now(), func(m *peerpb.Member) {
@@ -29,10 +30,10 @@
 	})
 }
 
-// maxRejected bounds the rejected documents that an entry names.
+// maxRejected bounds the rejected documents that an entry lists.
 const maxRejected = 8
 
-func (i *Instance) storeFailing(failing bool) {
+func (i *Instance) setStoreUnreachable(failing bool) {
 	if i.members.Self().GetStoreUnreachable() == failing {
 		return
 	}
--- a/instance/ready_test.go
+++ b/instance/ready_test.go
@@ -32,50 +32,49 @@
 	}}
 }
 
-// An instance starts while the store is down, and a peer hands it the documents.
-// A key that was withdrawn in the outage is not among them: until a peer that
-// takes callers knows the same as it does, it must take none.
-func TestNotReadyBeforeAPeerKnowsTheSame(t *testing.T) {
+// An instance starts while the store is down, and a peer sends it the documents. A key that
+// was withdrawn during the outage may be missing from them: the instance must accept no
+// callers until a peer that accepts callers has the same documents.
+func TestNotReadyBeforeAPeerHasTheSameDocuments(t *testing.T) {
 	i := newTestInstance(t)
 	i.offer("peer", oneAccount())
 	if i.Ready() {
 		t.Fatal("ready without the withdrawn keys")
 	}
 	same := &peerpb.ExchangeResponse{ConfigRevision: 1, DocumentsHash: i.config.Hash()}
-	i.finishConfig(same, nil)
+	i.applyConfigResponse(same, nil)
 	if i.Ready() {
 		t.Fatal("ready by a peer that is not ready itself")
 	}
 	same.Ready, same.DocumentsHash = true, same.DocumentsHash+1
-	if next := i.finishConfig(same, nil); i.Ready() || len(next.GetDocumentBuckets()) == 0 {
-		t.Fatal("ready by a peer that knows more, or not asking it")
+	if next := i.applyConfigResponse(same, nil); i.Ready() || len(next.GetDocumentBuckets()) == 0 {
+		t.Fatal("ready by a peer with other documents, or not requesting them")
 	}
 	same.DocumentsHash = i.config.Hash()
-	i.finishConfig(same, nil)
+	i.applyConfigResponse(same, nil)
 	if !i.Ready() {
 		t.Error("not ready")
 	}
 }
 
-// An instance starts when the store is back, and has read it. A withdrawal from
-// the outage may still be on its way there, so the peers are asked first.
-func TestNotReadyBeforeThePeersWereAsked(t *testing.T) {
+// An instance starts when the store is back, and has read it. A withdrawal from the outage
+// may not have reached the store yet, so the peers have to be queried first.
+func TestNotReadyBeforeThePeersWereQueried(t *testing.T) {
 	i := newTestInstance(t)
-	i.offerStored(oneAccount())
+	i.offerFromStore(oneAccount())
 	if i.Ready() {
-		t.Fatal("ready before the peers were asked")
+		t.Fatal("ready before the peers were queried")
 	}
-	i.peersAsked.Store(true)
+	i.peersQueried.Store(true)
 	i.checkReady("peers")
 	if !i.Ready() {
 		t.Error("not ready")
 	}
 }
 
-// A request is forwarded here under a key that was issued a moment ago: this
-// instance, which lags, waits for the configuration and then runs it. A key that
-// it does not know although it lags behind nobody is refused, as is a withdrawn
-// one.
+// A request is forwarded under a key that was just issued: the receiving instance, whose
+// configuration lags, waits for the configuration and then runs it. A key that is unknown
+// although the configuration does not lag is refused, and so is a withdrawn one.
 func TestForwardedKeyWaitsForTheConfiguration(t *testing.T) {
 	i := newTestInstance(t)
 	batch := oneAccount()
@@ -101,22 +100,22 @@
 	}
 }
 
-// A key is withdrawn while a forwarded request runs here, and this instance hears
-// of it first. The first instance must get the reason: for a broken server it
-// would try the request again.
-func TestForwardedRequestTellsWhyItWasCut(t *testing.T) {
+// A key is withdrawn while a forwarded request runs, and the withdrawal reaches this
+// instance first. The forwarding instance must get the reason: with the error of a broken
+// server it would retry the request.
+func TestForwardedRequestReportsWhyItWasCancelled(t *testing.T) {
 	i := newTestInstance(t)
 	ctx, request, _ := i.forwarded.Begin(t.Context(), "k")
 	defer i.forwarded.End(request)
 	broken := refusal.New(refusal.CodeBackendFailed, "the stream broke").WithRun(refusal.Unknown)
-	if got := refusal.From(cutBy(ctx, broken)); got.Code != refusal.CodeBackendFailed {
+	if got := refusal.From(cancelReasonOr(ctx, broken)); got.Code != refusal.CodeBackendFailed {
 		t.Errorf("before the withdrawal: %v", got)
 	}
 	i.config.Withdraw("k", "")
-	if got := refusal.From(cutBy(ctx, broken)); got.Code != refusal.CodeWithdrawn || got.Run != refusal.Unknown {
+	if got := refusal.From(cancelReasonOr(ctx, broken)); got.Code != refusal.CodeWithdrawn || got.Run != refusal.Unknown {
 		t.Errorf("after the withdrawal: %v", got)
 	}
-	if cutBy(ctx, nil) != nil {
-		t.Error("a whole answer was turned into a refusal")
+	if cancelReasonOr(ctx, nil) != nil {
+		t.Error("a complete response was turned into a refusal")
 	}
 }
--- a/instance/secure.go
+++ b/instance/secure.go
@@ -15,7 +15,7 @@
 
 func (t TLS) files() tlsconf.Files { return tlsconf.Files{Cert: t.Cert, Key: t.Key, CA: t.CA} }
 
-// secure puts TLS on a listener unless the settings say plain text.
+// secure wraps a listener in TLS unless the settings ask for plain text.
 func secure(listener net.Listener, settings TLS) (net.Listener, error) {
 	if settings.PlainText {
 		return listener, nil
@@ -27,7 +27,7 @@
 	return tls.NewListener(listener, source.Server()), nil
 }
 
-// peerCredentials are those of both ends of a connection between instances.
+// peerCredentials returns the credentials of both ends of a connection between instances.
 func (i *Instance) peerCredentials() (credentials.TransportCredentials, error) {
 	settings := i.settings.Peers.TLS
 	if settings.PlainText {
@@ -42,8 +42,8 @@
 
 const platformIdleConns = 8
 
-// platformTransport checks the platform's certificate with the CA of the
-// settings, or else with the system's.
+// platformTransport returns a transport that verifies the platform's certificate with the
+// CA of the settings, or with the system's CAs if none is set.
 func (i *Instance) platformTransport() (*http.Transport, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: platformIdleConns}
 	if i.settings.Platform.CA == "" {
--- a/instance/settings.go
+++ b/instance/settings.go
@@ -1,5 +1,5 @@
-// Package instance wires one entry instance together: settings, listeners, the
-// loops that watch, poll and exchange, and the planned stop.
+// Package instance wires one entry instance together: settings, listeners, the loops that
+// watch, poll and exchange, and the graceful shutdown.
 package instance
 
 import (
@@ -21,7 +21,7 @@
 	Domain   string   `yaml:"domain"`
 	Callers  Listener `yaml:"callers"`
 	Peers    Listener `yaml:"peers"`
-	Seeds    []string `yaml:"seeds"` // peer addresses to try besides the platform's list
+	Seeds    []string `yaml:"seeds"` // peer addresses to try in addition to the platform's list
 	Operator Operator `yaml:"operator"`
 	Platform Platform `yaml:"platform"`
 	Log      Log      `yaml:"log"`
@@ -37,12 +37,12 @@
 	TLS       TLS    `yaml:"tls"`
 }
 
-// TLS names certificate files, which are read again when they change.
+// TLS names certificate files, which are reloaded when they change.
 type TLS struct {
 	Cert      string `yaml:"cert"`
 	Key       string `yaml:"key"`
-	CA        string `yaml:"ca"`         // of the other side, for mutual TLS
-	PlainText bool   `yaml:"plain_text"` // no TLS; has to be set on purpose
+	CA        string `yaml:"ca"`         // of the remote side, for mutual TLS
+	PlainText bool   `yaml:"plain_text"` // no TLS; has to be set explicitly
 }
 
 // Operator is the operators' address.
@@ -52,16 +52,16 @@
 	TLS         TLS    `yaml:"tls"`
 }
 
-// Platform says where the platform's services are.
+// Platform configures the calls to the platform's services.
 type Platform struct {
 	URL         string        `yaml:"url"`
-	CA          string        `yaml:"ca"` // file that an https URL's certificate is checked with; the system's when empty
+	CA          string        `yaml:"ca"` // CA file that an https URL's certificate is verified with; the system's CAs when empty
 	CallTimeout time.Duration `yaml:"call_timeout"`
 	CallRate    float64       `yaml:"call_rate"` // calls per second of this instance
 	CallBurst   int64         `yaml:"call_burst"`
 }
 
-// Log sets the log.
+// Log configures logging.
 type Log struct {
 	Level  string `yaml:"level"`  // debug, info, warn or error
 	Format string `yaml:"format"` // text or json
@@ -73,12 +73,12 @@
 	Region time.Duration `yaml:"region"` // between regions
 }
 
-// Stop bounds the planned stop.
+// Stop bounds the graceful shutdown.
 type Stop struct {
-	Limit time.Duration `yaml:"limit"` // requests in flight are cut after it; none when 0
+	Limit time.Duration `yaml:"limit"` // requests in flight are cancelled after it; no limit when 0
 }
 
-// Via sets the signing of via tokens, which keep requests from looping between
+// Via configures the signing of via tokens, which keep requests from looping between
 // services. Every instance of the fleet needs the same secret.
 type Via struct {
 	Secret string `yaml:"secret"` // at least 32 characters; derived from operator.token_sha256 when empty
@@ -102,7 +102,7 @@
 	return mac.Sum(nil)
 }
 
-// DefaultSettings are the settings before the file is read.
+// DefaultSettings returns the defaults that a settings file overrides.
 func DefaultSettings() Settings {
 	return Settings{
 		Platform: Platform{CallTimeout: time.Second, CallRate: 20, CallBurst: 40},
@@ -111,7 +111,7 @@
 	}
 }
 
-// ParseSettings decodes and checks settings. The error is yamldoc.Findings.
+// ParseSettings decodes and checks settings. The error is of type yamldoc.Findings.
 func ParseSettings(file string, data []byte) (Settings, error) {
 	s := DefaultSettings()
 	r := yamldoc.Decode(file, data, &s)
--- a/instance/slots.go
+++ b/instance/slots.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	slotsEvery       = 100 * time.Millisecond
-	slotWriteTimeout = 2 * time.Second
-	askTimeout       = time.Second
-	readSoon         = 250 * time.Millisecond // while slots of the own domain are free
-	readsPerLease    = 4                      // of an instance that holds or may take a slot
-	slotsPrefix      = "slots/"
+	slotsInterval      = 100 * time.Millisecond
+	slotWriteTimeout   = 2 * time.Second
+	slotCallTimeout    = time.Second
+	promptReadInterval = 250 * time.Millisecond // while slots of the local domain are free
+	readsPerLease      = 4                      // of an instance that holds or may take a slot
+	slotsPrefix        = "slots/"
 )
 
-// slotKeeper carries out what the slots' protocol decides.
-type slotKeeper struct {
+// slotManager carries out the actions that the slots protocol decides on.
+type slotManager struct {
 	machine *slots.Machine
 	self    slots.Member
 
-	mu       sync.Mutex
-	settings slots.Settings
-	growFrom time.Time             // when a larger number of slots is in force; zero when none waits
-	known    map[slots.Member]bool // holders of slots of all domains
-	running  sync.WaitGroup
+	mu          sync.Mutex
+	settings    slots.Settings
+	growAt      time.Time             // when a larger number of slots takes effect; zero when none is pending
+	slotHolders map[slots.Member]bool // holders of slots of all domains, as last read from the store
+	running     sync.WaitGroup
 }
 
-func newSlotKeeper(self slots.Member) *slotKeeper {
-	return &slotKeeper{machine: slots.New(self, slots.Settings{}), self: self}
+func newSlotManager(self slots.Member) *slotManager {
+	return &slotManager{machine: slots.New(self, slots.Settings{}), self: self}
 }
 
 // holders returns the holders of slots as last read from the store.
-func (k *slotKeeper) holders() map[slots.Member]bool {
+func (k *slotManager) holders() map[slots.Member]bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.known
+	return k.slotHolders
 }
 
-// configure takes in the fleet document. More slots than before come only when
-// every instance goes by the document (acknowledged) and earlier loans have
-// expired: an instance that still splits its domain's part over fewer slots would
-// mint too much beside them.
-func (k *slotKeeper) configure(s service.Slots, acknowledged bool, now time.Time) {
+// configure applies the fleet document. A larger number of slots takes effect only when
+// every instance applies the document (acknowledged) and earlier loans have expired: an
+// instance that still divides its domain's share by the smaller number would mint more per
+// slot, and all slots together more than the share.
+func (k *slotManager) configure(s service.Slots, acknowledged bool, now time.Time) {
 	next := slots.Settings{
 		Slots: int(s.PerDomain), Lease: s.Lease, Promise: s.Promise,
 		Peers: int(s.Peers), Promises: int(s.Promises), Release: s.Release,
@@ -61,7 +61,7 @@
 	if next.Slots > k.settings.Slots && k.settings.Slots > 0 {
 		next.Slots = k.growSlots(next.Slots, acknowledged, now)
 	} else {
-		k.growFrom = time.Time{}
+		k.growAt = time.Time{}
 	}
 	changed := next != k.settings
 	k.settings = next
@@ -71,15 +71,15 @@
 	}
 }
 
-func (k *slotKeeper) growSlots(count int, acknowledged bool, now time.Time) int {
+func (k *slotManager) growSlots(count int, acknowledged bool, now time.Time) int {
 	if !acknowledged {
-		k.growFrom = time.Time{}
+		k.growAt = time.Time{}
 		return k.settings.Slots
 	}
-	if k.growFrom.IsZero() {
-		k.growFrom = quota.LoanExpiry(now)
+	if k.growAt.IsZero() {
+		k.growAt = quota.LoanExpiry(now)
 	}
-	if now.Before(k.growFrom) {
+	if now.Before(k.growAt) {
 		return k.settings.Slots
 	}
 	return count
@@ -90,30 +90,30 @@
 	return slots.Member{ID: self.GetId(), Incarnation: self.GetIncarnation()}
 }
 
-// holdSlots runs the slots' protocol for the own failure domain.
-func (i *Instance) holdSlots(ctx context.Context) {
+// runSlots runs the slots protocol for the local failure domain.
+func (i *Instance) runSlots(ctx context.Context) {
 	defer i.slots.running.Wait()
-	every(ctx, slotsEvery, func(ctx context.Context) {
+	every(ctx, slotsInterval, func(ctx context.Context) {
 		fleet := i.catalog.Fleet()
 		if fleet == nil {
 			return
 		}
 		now := time.Now()
 		revision := i.config.Revision()
-		i.slots.configure(fleet.Slots, i.acknowledged(now) >= revision, now)
+		i.slots.configure(fleet.Slots, i.acknowledgedRevision(now) >= revision, now)
 		i.slots.machine.SetLive(i.liveInDomain(now), now)
 		actions := i.slots.machine.Step(now)
 		for _, w := range actions.Writes {
 			i.slots.running.Go(func() { i.writeSlot(ctx, w) })
 		}
 		for _, a := range actions.Requests {
-			i.slots.running.Go(func() { i.askPeer(ctx, a) })
+			i.slots.running.Go(func() { i.requestFromPeer(ctx, a) })
 		}
-		i.updateHeld()
+		i.updateHeldSlots()
 	})
 }
 
-func (i *Instance) updateHeld() {
+func (i *Instance) updateHeldSlots() {
 	now := time.Now()
 	held := i.slots.machine.HeldSlots(now)
 	i.ledger.SetHeldSlots(held, now)
@@ -136,7 +136,7 @@
 	outcome, revision := i.putSlot(ctx, w)
 	i.slots.machine.WriteDone(w, outcome, revision, time.Now())
 	if outcome == slots.Written {
-		i.updateHeld()
+		i.updateHeldSlots()
 	}
 }
 
@@ -160,21 +160,21 @@
 	return slots.Unknown, 0
 }
 
-// readSlots reads the slots of all domains: the own ones for the protocol, the
-// others to know whom to ask for loans. An instance that neither holds a slot nor
-// may take one reads seldom.
+// readSlots reads the slots of all domains: the local ones for the protocol, the others to
+// know which instances can lend. An instance that neither holds a slot nor may take one
+// reads rarely.
 func (i *Instance) readSlots(ctx context.Context) {
 	for ctx.Err() == nil {
 		i.readSlotsOnce(ctx)
-		_ = wait(ctx, time.After(i.readPause()))
+		_ = wait(ctx, time.After(i.slotReadInterval()))
 	}
 }
 
-func (i *Instance) readPause() time.Duration {
+func (i *Instance) slotReadInterval() time.Duration {
 	fleet := i.catalog.Fleet()
 	switch {
 	case fleet == nil, i.slots.machine.NeedsPromptRead():
-		return readSoon
+		return promptReadInterval
 	case i.slots.machine.NeedsFrequentReads():
 		return fleet.Slots.Lease / readsPerLease
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return
 	}
-	own := make(map[int]slots.Entry)
+	local := make(map[int]slots.Entry)
 	holders := make(map[slots.Member]bool)
 	prefix := slots.Prefix(i.settings.Domain)
 	for _, kv := range list {
@@ -201,24 +201,24 @@
 			holders[record.Holder] = true
 		}
 		if index, err := strconv.Atoi(strings.TrimPrefix(kv.Key, prefix)); err == nil && strings.HasPrefix(kv.Key, prefix) {
-			own[index] = slots.Entry{Revision: kv.Revision, Record: record}
+			local[index] = slots.Entry{Revision: kv.Revision, Record: record}
 		}
 	}
 	i.slots.mu.Lock()
-	i.slots.known = holders
+	i.slots.slotHolders = holders
 	i.slots.mu.Unlock()
-	i.slots.machine.Observe(own, time.Now())
+	i.slots.machine.Observe(local, time.Now())
 }
 
-// askPeer asks for a promise or a consent. An answer of another incarnation does
+// requestFromPeer requests a promise or a consent. A response of another incarnation does
 // not count.
-func (i *Instance) askPeer(ctx context.Context, a slots.Request) {
-	address := i.addressOf(a.To)
+func (i *Instance) requestFromPeer(ctx context.Context, a slots.Request) {
+	address := i.peerAddress(a.To)
 	client, err := i.pool.Get(address)
 	if address == "" || err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, slotCallTimeout)
 	defer cancel()
 	self, slot := i.member(), slots.Key(i.settings.Domain, a.Slot)
 	if a.Consent {
@@ -239,7 +239,7 @@
 	}
 }
 
-func (i *Instance) addressOf(m slots.Member) string {
+func (i *Instance) peerAddress(m slots.Member) string {
 	for _, known := range i.members.Members(time.Now()) {
 		if known.Entry.GetId() == m.ID {
 			return known.Entry.GetPeerAddress()
@@ -248,7 +248,8 @@
 	return ""
 }
 
-// slotIndex returns the number of a slot of the own failure domain, or -1.
+// slotIndex returns the index of a slot of the local failure domain, or -1 for any other
+// key.
 func (i *Instance) slotIndex(key string) int {
 	number, ok := strings.CutPrefix(key, slots.Prefix(i.settings.Domain))
 	index, err := strconv.Atoi(number)
@@ -268,8 +269,8 @@
 
 // Consent implements peer.Quota.
 func (i *Instance) Consent(req *peerpb.ConsentRequest) *peerpb.ConsentResponse {
-	pause, ok := i.slots.machine.HandleConsentRequest(i.slotIndex(req.GetSlot()), uint64(req.GetVersion()), time.Now())
+	delay, ok := i.slots.machine.HandleConsentRequest(i.slotIndex(req.GetSlot()), uint64(req.GetVersion()), time.Now())
 	return &peerpb.ConsentResponse{
-		Consented: ok, Incarnation: i.slots.self.Incarnation, WaitMs: pause.Milliseconds(),
+		Consented: ok, Incarnation: i.slots.self.Incarnation, WaitMs: delay.Milliseconds(),
 	}
 }
--- a/instance/status.go
+++ b/instance/status.go
@@ -14,7 +14,7 @@
 	now := time.Now()
 	status := &operatorapi.Status{
 		ID: i.settings.ID, Ready: i.Ready(), ConfigRevision: i.config.Revision(),
-		StoreReachable: i.storeSeen.Load(), Findings: append([]string{}, i.config.Findings()...),
+		StoreReachable: i.storeReachable.Load(), Findings: append([]string{}, i.config.Findings()...),
 		Instances: []operatorapi.InstanceStatus{},
 	}
 	for _, m := range i.members.Members(now) {
@@ -47,7 +47,7 @@
 	Services  []*service.Service  `json:"services"`
 	Accounts  int                 `json:"accounts"`
 	Withdrawn int                 `json:"withdrawn_keys"`
-	Slots     []slots.Record      `json:"slots"` // of the own failure domain, as last read
+	Slots     []slots.Record      `json:"slots"` // of the local failure domain, as last read
 	Minting   int                 `json:"minting_slots"`
 }
 
@@ -60,5 +60,5 @@
 	}
 }
 
-// Busy tells whether requests of callers or of peers are in flight.
+// Busy reports whether requests of callers or of peers are in flight.
 func (d Dump) Busy() bool { return d.InFlight+d.Forwarded > 0 }
--- a/instance/stop.go
+++ b/instance/stop.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// announceFor is how long a leaving instance goes on listening, so that peers
-	// and callers hear of it before connections are refused.
-	announceFor = 2 * time.Second
-	// cutFor is how long requests that were cut have to tell their callers.
-	cutFor = time.Second
+	// leaveAnnouncePeriod is how long a leaving instance continues to listen, so that peers
+	// and callers learn of it before connections are refused.
+	leaveAnnouncePeriod = 2 * time.Second
+	// cancelNotifyTimeout is how long cancelled requests have to notify their callers.
+	cancelNotifyTimeout = time.Second
 )
 
-// Stop is the planned stop: the instance says that it is leaving, refuses new
-// work, lets what is in flight finish, and ends. When ctx or stop.limit ends
-// before that, it cuts what is left, tells the callers so, and returns an error.
+// Stop shuts the instance down gracefully: it announces that it is leaving, refuses new
+// work, lets requests in flight finish, and ends. When ctx or stop.limit ends before that,
+// it cancels the remaining requests with an error to their callers, and returns an error.
 func (i *Instance) Stop(ctx context.Context) error {
 	i.leaving.Store(true)
 	i.members.UpdateSelf(time.Now(), func(m *peerpb.Member) { m.State = peerpb.MemberState_MEMBER_STATE_LEAVING })
 	i.slots.machine.Leave()
-	own, others := i.requests.Close(), i.forwarded.Close()
+	callersDone, peersDone := i.requests.Close(), i.forwarded.Close()
 	i.exchangeAll(ctx)
 	if i.settings.Stop.Limit > 0 {
 		var cancel context.CancelFunc
@@ -34,21 +34,21 @@
 		defer cancel()
 	}
 	i.log.Info("stopping", "in_flight", i.requests.Count(), "forwarded", i.forwarded.Count())
-	err := errors.CombineErrors(wait(ctx, own), wait(ctx, others))
+	err := errors.CombineErrors(wait(ctx, callersDone), wait(ctx, peersDone))
 	i.returnLoans(ctx)
 	if err == nil {
-		_ = wait(ctx, time.After(announceFor))
+		_ = wait(ctx, time.After(leaveAnnouncePeriod))
 		err = i.shutdown(ctx)
 	} else {
-		i.cut(own, others)
+		i.cancelInFlight(callersDone, peersDone)
 	}
 	i.Kill()
-	return errors.Wrap(err, "requests were cut")
+	return errors.Wrap(err, "requests in flight were cancelled")
 }
 
-// shutdown ends the listeners when the last byte of every answer is out. A
-// request is off the tables before its caller has read all of it: without this
-// a slow reader would lose the end of an answer that an engine had finished.
+// shutdown ends the listeners when the last byte of every response has been sent. A request
+// leaves the tables before its caller has read all of it: without this, a slow reader would
+// lose the end of a response that an engine had finished.
 func (i *Instance) shutdown(ctx context.Context) error {
 	err := i.callers.Shutdown(ctx)
 	abort := context.AfterFunc(ctx, i.peers.Stop)
@@ -57,24 +57,24 @@
 	return err
 }
 
-// cut ends the requests in flight, so that callers get an explicit end and not
-// a broken connection.
-func (i *Instance) cut(tables ...<-chan struct{}) {
+// cancelInFlight cancels the requests in flight, so that callers get an explicit error and
+// not a broken connection.
+func (i *Instance) cancelInFlight(drainedChannels ...<-chan struct{}) {
 	reason := refusal.New(refusal.CodeLeaving, "this instance stops").WithRun(refusal.Unknown)
-	i.log.Warn("cutting requests", "in_flight", i.requests.Count(), "forwarded", i.forwarded.Count())
+	i.log.Warn("cancelling requests in flight", "in_flight", i.requests.Count(), "forwarded", i.forwarded.Count())
 	i.requests.CancelAll(reason)
 	i.forwarded.CancelAll(reason)
-	ctx, cancel := context.WithTimeout(context.Background(), cutFor)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelNotifyTimeout)
 	defer cancel()
-	for _, drained := range tables {
+	for _, drained := range drainedChannels {
 		_ = wait(ctx, drained)
 	}
 	_ = i.callers.Shutdown(ctx)
 }
 
-// closeWhenLeaving asks callers to leave their kept-alive connections with the
-// next answer. Idle connections stay open until the end, since closing one just
-// as a request comes in would leave its caller without an answer.
+// closeWhenLeaving asks callers to close their keep-alive connections after the next
+// response. Idle connections stay open until the end, since closing one just as a request
+// arrives would leave its caller without a response.
 func (i *Instance) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if i.leaving.Load() {
--- a/instance/storewatch.go
+++ b/instance/storewatch.go
@@ -14,43 +14,43 @@
 )
 
 const (
-	watchWait         = 2 * time.Second // also how soon a restored store is noticed
-	repairDelay       = time.Second     // at most, before a restored store is repaired
-	wholeEvery        = time.Hour
-	wholeAfterFailure = time.Minute
+	watchTimeout         = 2 * time.Second // also bounds how soon a restored store is noticed
+	maxRepairDelay       = time.Second     // before a restored store is repaired
+	fullReadInterval     = time.Hour
+	fullReadAfterFailure = time.Minute
 )
 
-// storeWatch reads the documents from the store. It is for one goroutine.
+// storeWatch reads the documents from the store. It is not safe for concurrent use.
 type storeWatch struct {
 	store  platform.Store
 	config *configwatch.DocumentSet
 	offer  func(configwatch.Batch)
-	delay  func(context.Context) // before a repair, so that not all watchers begin at once
+	delay  func(context.Context) // sleeps before a repair, so that not all watchers start at once
 	log    *slog.Logger
 
-	generations configwatch.Generations
-	cursor      int64     // revision of the store to watch from
-	listed      bool      // the cursor is valid for the generation
-	unchecked   bool      // what was read is to be searched for what the store lost
-	whole       time.Time // when all of the store was read
-	failed      bool      // a call failed since then
+	generations   configwatch.Generations
+	cursor        int64     // revision of the store to watch from
+	listed        bool      // the cursor is valid for the generation
+	lossUnchecked bool      // the documents still have to be compared with the store for losses
+	lastFullRead  time.Time // when the whole store was last read
+	callFailed    bool      // a call failed since then
 }
 
-// once reads the generation of the store, waits for changes, and takes them
-// in when the store has not come back older.
-func (w *storeWatch) once(ctx context.Context, now time.Time) error {
+// syncOnce reads the generation of the store, waits for changes, and applies them unless
+// the store was restored to an older state.
+func (w *storeWatch) syncOnce(ctx context.Context, now time.Time) error {
 	generations, err := w.readGenerations(ctx)
 	if err != nil {
-		w.failed = true
+		w.callFailed = true
 		return err
 	}
-	w.begin(generations, now)
+	w.setCursor(generations, now)
 	found, err := w.readChanges(ctx)
 	if err != nil {
-		w.failed = true
+		w.callFailed = true
 		return err
 	}
-	lost, err := w.storeLost(ctx)
+	lost, err := w.newestLost(ctx)
 	if err != nil {
 		return err
 	}
@@ -59,20 +59,20 @@
 		return w.repairStore(ctx)
 	}
 	w.config.SetStoreFinding("")
-	w.takeStored(found)
-	if !w.unchecked {
+	w.applyChanges(found)
+	if !w.lossUnchecked {
 		return nil
 	}
 	err = w.writeBack(ctx, w.generations)
-	w.unchecked = err != nil
+	w.lossUnchecked = err != nil
 	return err
 }
 
-// begin sets where the store has to be read from; 0 for all of it.
-func (w *storeWatch) begin(g configwatch.Generations, now time.Time) {
+// setCursor sets the revision from which the store has to be read; 0 for all of it.
+func (w *storeWatch) setCursor(g configwatch.Generations, now time.Time) {
 	known := w.config.Revision()
 	generation, revision := configwatch.SplitRank(known)
-	whole := w.wholeDue(now)
+	whole := w.fullReadDue(now)
 	if w.listed && g.Current == w.generations.Current && !whole {
 		return
 	}
@@ -81,18 +81,18 @@
 	case known > 0 && generation == g.Current && !whole:
 		w.cursor = revision
 	default:
-		w.cursor, w.unchecked = 0, known > 0
-		w.whole, w.failed = now, false
+		w.cursor, w.lossUnchecked = 0, known > 0
+		w.lastFullRead, w.callFailed = now, false
 	}
 }
 
-// wholeDue tells whether the store is to be read as a whole: once in a while,
-// and after it did not answer. A store that is restored and written to so much
-// that it passes the newest document looks whole to storeLost; what it lost, and
-// what was written below the cursor, shows only when all of it is read.
-func (w *storeWatch) wholeDue(now time.Time) bool {
-	since := now.Sub(w.whole)
-	return since >= wholeEvery || w.failed && since >= wholeAfterFailure
+// fullReadDue reports whether the whole store is to be read: periodically, and after it did
+// not respond. A store that is restored and then written to until it passes the newest
+// document looks intact to newestLost; what it lost, and what was written below the cursor,
+// shows only when all of it is read.
+func (w *storeWatch) fullReadDue(now time.Time) bool {
+	since := now.Sub(w.lastFullRead)
+	return since >= fullReadInterval || w.callFailed && since >= fullReadAfterFailure
 }
 
 func (w *storeWatch) readGenerations(ctx context.Context) (configwatch.Generations, error) {
@@ -109,19 +109,19 @@
 func (w *storeWatch) readChanges(ctx context.Context) (found []platform.KeyValue, err error) {
 	switch {
 	case w.listed:
-		found, _, err = w.store.Watch(ctx, service.KeyPrefix, w.cursor, watchWait)
+		found, _, err = w.store.Watch(ctx, service.KeyPrefix, w.cursor, watchTimeout)
 	case w.cursor > 0:
 		found, _, err = w.store.List(ctx, service.KeyPrefix, w.cursor)
 	default:
-		found, err = w.readWhole(ctx)
+		found, err = w.readAll(ctx)
 	}
 	return found, err
 }
 
-// readWhole returns every document and every deletion. A list from 0 leaves out
-// deletions, and a deleted document would stay in force; one from above 0 leaves
-// out what stands at the first revision.
-func (w *storeWatch) readWhole(ctx context.Context) ([]platform.KeyValue, error) {
+// readAll returns every document and every deletion. A list from 0 omits deletions, and a
+// deleted document would stay in force; one from above 0 omits what is stored at the first
+// revision.
+func (w *storeWatch) readAll(ctx context.Context) ([]platform.KeyValue, error) {
 	found, _, err := w.store.List(ctx, service.KeyPrefix, 0)
 	if err != nil {
 		return nil, err
@@ -138,29 +138,29 @@
 	return found, nil
 }
 
-// storeLost tells whether the store has lost the newest document in force. The
-// question comes after the changes were read: a store that is restored between
-// the two calls is noticed now or in the next round. A store that has the newest
-// one has all others, since it has one order of writes.
-func (w *storeWatch) storeLost(ctx context.Context) (bool, error) {
+// newestLost reports whether the store has lost the newest document in force. It is called
+// after the changes were read: a store that is restored between the two calls is noticed
+// now or in the next round. A store that has the newest document has all others, since its
+// writes have a single order.
+func (w *storeWatch) newestLost(ctx context.Context) (bool, error) {
 	for _, d := range w.config.Newest() {
-		stands, err := w.standing(ctx, d.Key)
+		current, err := w.storedDocument(ctx, d.Key)
 		if err != nil {
 			return false, err
 		}
-		if configwatch.StoreRestored(&d, stands, w.generations) {
+		if configwatch.StoreRestored(&d, current, w.generations) {
 			return true, nil
 		}
 	}
 	return false, nil
 }
 
-// standing returns what the store holds under a key, nil for nothing. A deletion
-// shows only in the list of changes; taken for a loss, it would be undone.
-func (w *storeWatch) standing(ctx context.Context, key string) (*configwatch.Document, error) {
+// storedDocument returns what the store holds under a key, or nil. A deletion shows only in
+// the list of changes; mistaken for a loss, it would be undone.
+func (w *storeWatch) storedDocument(ctx context.Context, key string) (*configwatch.Document, error) {
 	kv, err := w.store.Get(ctx, key)
 	if err == nil {
-		return stored(w.generations, kv), nil
+		return toDocument(w.generations, kv), nil
 	}
 	if !errors.Is(err, platform.ErrNotFound) {
 		return nil, err
@@ -171,22 +171,22 @@
 	}
 	for _, kv := range changes {
 		if kv.Key == key {
-			return stored(w.generations, kv), nil
+			return toDocument(w.generations, kv), nil
 		}
 	}
 	return nil, nil
 }
 
-// takeStored offers changes of the store. The watermark is the newest document
-// and not the store's revision: a store that is restored to between the two
-// hands out the revisions in between again.
-func (w *storeWatch) takeStored(found []platform.KeyValue) {
+// applyChanges offers changes of the store. The watermark is the revision of the newest
+// document and not the store's: a store that is restored to a point between the two assigns
+// the revisions in between again.
+func (w *storeWatch) applyChanges(found []platform.KeyValue) {
 	batch := configwatch.Batch{After: w.generations.Rank(w.cursor), Documents: make([]configwatch.Document, len(found))}
 	if !w.listed {
 		batch.After = 0
 	}
 	for n, kv := range found {
-		batch.Documents[n] = *stored(w.generations, kv)
+		batch.Documents[n] = *toDocument(w.generations, kv)
 		w.cursor = max(w.cursor, kv.Revision)
 	}
 	if w.cursor > 0 {
@@ -196,10 +196,10 @@
 	w.offer(batch)
 }
 
-// repairStore brings a store that came back older up to what is in force: it
-// opens a new generation, so that writes from now on outrank all earlier ones,
-// and writes back what was lost. Every watcher may do so at once: each write is
-// a compare-and-swap.
+// repairStore brings a store that was restored to an older state up to what is in force: it
+// opens a new generation, so that writes from now on outrank all earlier ones, and writes
+// back what was lost. Every watcher may do so at the same time: each write is a
+// compare-and-swap.
 func (w *storeWatch) repairStore(ctx context.Context) error {
 	g := w.generations
 	generation, revision := configwatch.SplitRank(w.config.Revision())
@@ -221,10 +221,10 @@
 	return w.writeBack(ctx, g)
 }
 
-// writeBack writes what the store has lost, the newest document last: as long as
-// that one is missing, the other watchers go on with the repair.
+// writeBack writes what the store has lost, the newest document last: while that one is
+// missing, the other watchers continue the repair.
 func (w *storeWatch) writeBack(ctx context.Context, g configwatch.Generations) error {
-	found, err := w.readWhole(ctx)
+	found, err := w.readAll(ctx)
 	if err != nil {
 		return err
 	}
@@ -245,11 +245,11 @@
 }
 
 func (w *storeWatch) writeBackOne(ctx context.Context, d configwatch.Document, kv platform.KeyValue, listed bool, g configwatch.Generations) error {
-	var stands *configwatch.Document
+	var current *configwatch.Document
 	if listed {
-		stands = stored(g, kv)
+		current = toDocument(g, kv)
 	}
-	if !configwatch.MissingFromStore(&d, stands) {
+	if !configwatch.MissingFromStore(&d, current) {
 		return nil
 	}
 	next := platform.Write{Key: d.Key, Value: d.Value, Delete: d.Deleted, Nonce: d.Nonce}
@@ -263,7 +263,7 @@
 	return err
 }
 
-func stored(g configwatch.Generations, kv platform.KeyValue) *configwatch.Document {
+func toDocument(g configwatch.Generations, kv platform.KeyValue) *configwatch.Document {
 	return &configwatch.Document{
 		Key: kv.Key, Revision: g.Rank(kv.Revision), Value: kv.Value, Deleted: kv.Deleted, Nonce: kv.Nonce,
 	}
--- a/instance/storewatch_test.go
+++ b/instance/storewatch_test.go
@@ -15,7 +15,7 @@
 	"github.com/basilroute/basilroute/transport/platform"
 )
 
-// watcher is the configuration part of an instance.
+// watcher is the part of an instance that keeps its configuration.
 type watcher struct {
 	catalog *catalog.Catalog
 	config  *configwatch.DocumentSet
@@ -32,7 +32,7 @@
 	return w
 }
 
-// pull is an exchange in which w learns from a peer.
+// pull models an exchange in which w gets documents from a peer.
 func (w *watcher) pull(from *watcher) {
 	for more := true; more; {
 		var batch configwatch.Batch
@@ -40,11 +40,11 @@
 		w.config.Offer(batch)
 	}
 	if w.config.Revision() == from.config.Revision() && w.config.Hash() != from.config.Hash() {
-		w.config.Offer(from.config.Differing(w.config.Buckets(), fetchBytes))
+		w.config.Offer(from.config.Differing(w.config.Buckets(), maxFetchBytes))
 	}
 }
 
-// version reads which write of an account is in force.
+// version returns the version of an account that is in force, or 0.
 func (w *watcher) version(name string) int {
 	if a := w.catalog.Account(name); a != nil {
 		return int(a.Rate)
@@ -90,7 +90,7 @@
 
 func (m *configModel) watch(t *rapid.T) {
 	w := rapid.SampledFrom(m.watchers).Draw(t, "watcher")
-	_ = w.watch.once(context.Background(), m.now)
+	_ = w.watch.syncOnce(context.Background(), m.now)
 }
 
 func (m *configModel) exchange(t *rapid.T) {
@@ -106,9 +106,9 @@
 
 func (m *configModel) outage(*rapid.T) { m.store.outage = !m.store.outage }
 
-func (m *configModel) hour(*rapid.T) { m.now = m.now.Add(wholeEvery) }
+func (m *configModel) hour(*rapid.T) { m.now = m.now.Add(fullReadInterval) }
 
-// restart replaces an instance whose documents another one has.
+// restart replaces an instance if another one has the same documents.
 func (m *configModel) restart(t *rapid.T) {
 	n := rapid.IntRange(0, len(m.watchers)-1).Draw(t, "instance")
 	other := m.watchers[(n+1)%len(m.watchers)]
@@ -117,7 +117,7 @@
 	}
 }
 
-// check is run after every step: nothing in force is replaced by an older write.
+// check runs after every step: nothing in force may be replaced by an older write.
 func (m *configModel) check(t *rapid.T) {
 	for n, w := range m.watchers {
 		for _, name := range modelAccounts {
@@ -131,14 +131,14 @@
 	}
 }
 
-// settle lets everything answer again until nothing changes.
+// settle ends the outage and lets all instances read and exchange until nothing changes.
 func (m *configModel) settle() {
 	m.store.outage = false
 	for range 8 {
-		m.now = m.now.Add(wholeEvery)
+		m.now = m.now.Add(fullReadInterval)
 		for _, w := range m.watchers {
-			_ = w.watch.once(context.Background(), m.now)
-			_ = w.watch.once(context.Background(), m.now)
+			_ = w.watch.syncOnce(context.Background(), m.now)
+			_ = w.watch.syncOnce(context.Background(), m.now)
 			for _, from := range m.watchers {
 				w.pull(from)
 			}
@@ -163,11 +163,10 @@
 	}
 }
 
-// Callers see every change of a document once and never an older one again.
-// Operators write, instances watch, learn from each other and restart, and the
-// store goes down or comes back from any earlier snapshot, also unnoticed and
-// with revisions handed out again. When all is quiet, every instance and the
-// store hold the same, and nothing that was in force anywhere is lost.
+// Guards against a document that goes back to an older version. Operators write, instances
+// watch, exchange and restart, and the store fails or is restored from any earlier
+// snapshot, also unnoticed and with revisions assigned again. In the end every instance and
+// the store have to hold the same documents, with nothing lost that was in force anywhere.
 func TestConfigurationNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newConfigModel()
@@ -181,10 +180,10 @@
 	})
 }
 
-// The store comes back from a backup, and before any instance looks an operator's
-// write is accepted by it under a revision that was used before. The next look
-// has to notice, keep both the write and what the store lost, and let the fleet
-// agree, without waiting for the hourly whole read.
+// The store is restored from a backup, and before any instance reads it, it accepts an
+// operator's write under a revision that was used before. The next read has to notice, keep
+// both the write and what the store lost, and let the fleet agree, without waiting for the
+// hourly full read.
 func TestRestoredStoreIsRepairedAtOnce(t *testing.T) {
 	m := newConfigModel()
 	put := func(name string) {
@@ -195,10 +194,10 @@
 			t.Fatal(err)
 		}
 	}
-	look := func() {
+	syncAll := func() {
 		for range 3 {
 			for _, w := range m.watchers {
-				_ = w.watch.once(t.Context(), m.now)
+				_ = w.watch.syncOnce(t.Context(), m.now)
 			}
 		}
 	}
@@ -206,10 +205,10 @@
 	backup := m.store.snapshot()
 	put("a")
 	put("b")
-	look()
+	syncAll()
 	m.store.restore(backup)
 	put("c")
-	look()
+	syncAll()
 	for n, w := range m.watchers {
 		if w.version("a") != 2 || w.version("b") != 3 || w.version("c") != 4 {
 			t.Errorf("instance %d: a %d, b %d, c %d", n, w.version("a"), w.version("b"), w.version("c"))
@@ -219,38 +218,38 @@
 		}
 	}
 	fresh := newWatcher(m.store)
-	_ = fresh.watch.once(t.Context(), m.now)
+	_ = fresh.watch.syncOnce(t.Context(), m.now)
 	if fresh.version("a") != 2 || fresh.version("b") != 3 || fresh.version("c") != 4 {
 		t.Error("the store does not hold what it lost")
 	}
 }
 
-// A team deletes a document; the store then comes back from before. The deletion
-// must hold, also for an instance that was cut off meanwhile and for one that
+// A document is deleted, and the store is then restored to a state from before. The
+// deletion must hold, also for an instance that was cut off meanwhile and for one that
 // reads the store for the first time.
 func TestDeletionSurvivesARestore(t *testing.T) {
 	m := newConfigModel()
 	key := service.StoreKey(service.KindAccount, "a")
 	_, _ = m.store.Put(t.Context(), platform.Write{Key: key, Value: accountVersion("a", 1)})
 	backup := m.store.snapshot()
-	w, late := m.watchers[0], m.watchers[1]
-	_ = w.watch.once(t.Context(), m.now)
-	_ = late.watch.once(t.Context(), m.now)
+	w, lagging := m.watchers[0], m.watchers[1]
+	_ = w.watch.syncOnce(t.Context(), m.now)
+	_ = lagging.watch.syncOnce(t.Context(), m.now)
 	_, _ = m.store.Put(t.Context(), platform.Write{Key: key, ExpectRevision: 1, Delete: true})
-	_ = w.watch.once(t.Context(), m.now)
+	_ = w.watch.syncOnce(t.Context(), m.now)
 	if w.version("a") != 0 {
 		t.Fatal("the deletion is not in force")
 	}
 	m.store.restore(backup)
 	for range 3 {
-		_ = w.watch.once(t.Context(), m.now)
+		_ = w.watch.syncOnce(t.Context(), m.now)
 	}
 	fresh := newWatcher(m.store)
 	for range 3 {
-		_ = late.watch.once(t.Context(), m.now)
-		_ = fresh.watch.once(t.Context(), m.now)
+		_ = lagging.watch.syncOnce(t.Context(), m.now)
+		_ = fresh.watch.syncOnce(t.Context(), m.now)
 	}
-	if w.version("a") != 0 || late.version("a") != 0 || fresh.version("a") != 0 {
+	if w.version("a") != 0 || lagging.version("a") != 0 || fresh.version("a") != 0 {
 		t.Error("the deleted document is in force again")
 	}
 }
--- a/instance/tls_test.go
+++ b/instance/tls_test.go
@@ -22,11 +22,11 @@
 
 // authority signs certificates for 127.0.0.1.
 type authority struct {
-	t    *testing.T
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	dir  string
-	last int64
+	t          *testing.T
+	cert       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	dir        string
+	lastSerial int64
 }
 
 func newAuthority(t *testing.T) *authority {
@@ -38,8 +38,8 @@
 
 func (a *authority) sign(template, parent *x509.Certificate, signer *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
 	a.t.Helper()
-	a.last++
-	template.SerialNumber, template.Subject = big.NewInt(a.last), pkix.Name{CommonName: "test"}
+	a.lastSerial++
+	template.SerialNumber, template.Subject = big.NewInt(a.lastSerial), pkix.Name{CommonName: "test"}
 	template.NotBefore, template.NotAfter = time.Now().Add(-time.Hour), time.Now().Add(time.Hour)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return cert, key
 }
 
-// write replaces a file the way that operators are told to: by renaming.
+// write replaces a file by renaming, as operators are advised to do.
 func (a *authority) write(name, kind string, der []byte) string {
 	a.t.Helper()
 	path := filepath.Join(a.dir, name)
@@ -86,7 +86,7 @@
 		Key: a.write(name+".key", "EC PRIVATE KEY", der), Cert: a.write(name+".pem", "CERTIFICATE", cert.Raw),
 		CA: filepath.Join(a.dir, "ca.pem"),
 	}
-	return files, a.last
+	return files, a.lastSerial
 }
 
 func (a *authority) client() *http.Client {
@@ -114,14 +114,14 @@
 	return resp.TLS.PeerCertificates[0].SerialNumber.Int64()
 }
 
-// Certificates are replaced while the fleet runs. A caller's open connection
-// goes on; new connections of callers, operators and peers get the new ones, and
-// instances go on seeing each other, without a restart.
-func TestCertificatesAreReadAgain(t *testing.T) {
+// Certificates are replaced while the fleet runs. A caller's open connection stays; new
+// connections of callers, operators and peers use the new certificates, and instances still
+// see each other, without a restart.
+func TestCertificatesAreReloaded(t *testing.T) {
 	a := newAuthority(t)
 	files, first := a.issue("instance")
 	f := startTLSFleet(t, a, files)
-	seen := func() bool {
+	allConnected := func() bool {
 		for _, i := range f.Instances {
 			if !i.Ready() || !i.Serves("writer") || len(i.Status().Instances) != 2 {
 				return false
@@ -129,7 +129,7 @@
 		}
 		return true
 	}
-	f.await("the fleet over TLS", seen)
+	f.await("the fleet over TLS", allConnected)
 	callers, _, operators := f.Instances["north-1-entry-1"].Addresses()
 	open := a.client()
 	for _, address := range []string{callers, operators} {
@@ -155,34 +155,34 @@
 	})
 }
 
-// Somebody without a certificate of the fleet's authority connects to the peers'
-// address, over TLS and in plain text. Neither gets to speak the protocol.
+// A client without a certificate of the fleet's authority connects to the peers' address,
+// over TLS and in plain text. Neither connection may get as far as the protocol.
 func TestPeersNeedACertificate(t *testing.T) {
 	a := newAuthority(t)
 	files, _ := a.issue("instance")
 	f := startTLSFleet(t, a, files)
 	_, peers, _ := f.Instances["north-1-entry-1"].Addresses()
-	stranger, key := newAuthority(t).sign(&x509.Certificate{}, nil, nil)
+	untrusted, key := newAuthority(t).sign(&x509.Certificate{}, nil, nil)
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
-	for _, certificates := range [][]tls.Certificate{nil, {{Certificate: [][]byte{stranger.Raw}, PrivateKey: key}}} {
+	for _, certificates := range [][]tls.Certificate{nil, {{Certificate: [][]byte{untrusted.Raw}, PrivateKey: key}}} {
 		conn, err := tls.Dial("tcp", peers, &tls.Config{RootCAs: pool, Certificates: certificates, NextProtos: []string{"h2"}})
 		if err == nil { // in TLS 1.3 the refusal comes with the first read
 			_, err = conn.Read(make([]byte, 1))
 			_ = conn.Close()
 		}
 		if err == nil {
-			t.Error("a stranger was let in")
+			t.Error("a client without a certificate of the fleet was accepted")
 		}
 	}
-	outsider := startFleet(t, func(s *instance.Settings) { s.Seeds = []string{peers} }, north(1, 0))
-	outsider.await("the outsider", func() bool { return outsider.Instances["north-1-entry-1"].Ready() })
-	if n := len(outsider.Instances["north-1-entry-1"].Status().Instances); n != 1 {
+	plainText := startFleet(t, func(s *instance.Settings) { s.Seeds = []string{peers} }, north(1, 0))
+	plainText.await("the outsider", func() bool { return plainText.Instances["north-1-entry-1"].Ready() })
+	if n := len(plainText.Instances["north-1-entry-1"].Status().Instances); n != 1 {
 		t.Errorf("a plain-text instance sees %d instances", n)
 	}
 }
 
-// Plain text needs the explicit setting, and peers need an authority.
+// Plain text needs the explicit setting, and peers need a CA.
 func TestPlainTextIsExplicit(t *testing.T) {
 	const settings = `id: a
 region: north
--- a/instance/withdraw.go
+++ b/instance/withdraw.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	withdrawStoreWait  = 2 * time.Second
-	withdrawRetryEvery = 2 * time.Second
+	withdrawStoreTimeout  = 2 * time.Second
+	withdrawRetryInterval = 2 * time.Second
 )
 
-// Withdraw implements operator.Instance. The key stops working here at once, on
-// every peer in reach before the call returns, and elsewhere when the store or a
-// peer brings it there. It needs no store: what the store misses is written when
-// it answers again.
+// Withdraw implements operator.Instance. The key stops working on this instance at once, on
+// every reachable peer before the call returns, and elsewhere when the store or a peer
+// delivers the withdrawal. It needs no store: a withdrawal that the store lacks is written
+// when it responds again.
 func (i *Instance) Withdraw(ctx context.Context, keyID string) (*operatorapi.Withdrawal, error) {
 	if !service.ValidName(keyID) {
 		return nil, errors.Newf("key id %q: want lower-case letters, digits and dashes", keyID)
@@ -36,21 +36,21 @@
 	d := i.config.Withdraw(keyID, nonce.String())
 	i.withdrawn.Store(keyID, true)
 	result := &operatorapi.Withdrawal{ID: keyID}
-	var both sync.WaitGroup
-	both.Go(func() {
-		result.Peers = i.tellAll(func(address string) bool { return i.tellDocument(ctx, address, d) })
+	var calls sync.WaitGroup
+	calls.Go(func() {
+		result.Peers = i.callPeers(func(address string) bool { return i.sendDocument(ctx, address, d) })
 	})
-	both.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, withdrawStoreWait)
+	calls.Go(func() {
+		ctx, cancel := context.WithTimeout(ctx, withdrawStoreTimeout)
 		defer cancel()
 		result.Stored = d.Revision > 0 || i.storeWithdrawal(ctx, d) == nil
 	})
-	both.Wait()
+	calls.Wait()
 	return result, nil
 }
 
-// tellDocument hands a peer one document. It moves no watermark there.
-func (i *Instance) tellDocument(ctx context.Context, address string, d configwatch.Document) bool {
+// sendDocument sends a peer one document. It does not move the peer's watermark.
+func (i *Instance) sendDocument(ctx context.Context, address string, d configwatch.Document) bool {
 	client, err := i.pool.Get(address)
 	if err != nil {
 		return false
@@ -65,8 +65,8 @@
 	return err == nil
 }
 
-// storeWithdrawal creates the withdrawal in the store. A conflict means that the
-// store has it.
+// storeWithdrawal creates the withdrawal in the store. A conflict means that the store
+// already has it.
 func (i *Instance) storeWithdrawal(ctx context.Context, d configwatch.Document) error {
 	_, err := i.platform.Put(ctx, platform.Write{Key: d.Key, Value: d.Value})
 	if errors.Is(err, platform.ErrConflict) {
@@ -75,16 +75,16 @@
 	return err
 }
 
-// storeWithdrawals writes withdrawals that the store misses. The instance that
-// took one does, and the watchers of each domain, one write at a time and none
-// while the store does not answer, so that its return is not met by a storm.
+// storeWithdrawals writes withdrawals that the store lacks. The instance that an operator
+// sent one to writes it, and so do the watchers of each domain, one write at a time and
+// none while the store does not respond, so that it is not flooded when it comes back.
 func (i *Instance) storeWithdrawals(ctx context.Context) {
 	for ctx.Err() == nil {
-		_ = wait(ctx, time.After(withdrawRetryEvery/2+rand.N(withdrawRetryEvery)))
-		watches := i.watches()
+		_ = wait(ctx, time.After(withdrawRetryInterval/2+rand.N(withdrawRetryInterval)))
+		watcher := i.isWatcher()
 		for _, d := range i.config.Pending() {
 			id, _ := d.WithdrawnKeyID()
-			if _, own := i.withdrawn.Load(id); !own && !watches {
+			if _, accepted := i.withdrawn.Load(id); !accepted && !watcher {
 				continue
 			}
 			if !i.storePending(ctx, d) {
@@ -95,7 +95,7 @@
 }
 
 func (i *Instance) storePending(ctx context.Context, d configwatch.Document) bool {
-	ctx, cancel := context.WithTimeout(ctx, withdrawStoreWait)
+	ctx, cancel := context.WithTimeout(ctx, withdrawStoreTimeout)
 	defer cancel()
 	return i.storeWithdrawal(ctx, d) == nil
 }
