--- a/instance/routed/features_test.go
+++ b/instance/routed/features_test.go
@@ -12,22 +12,22 @@
 	"github.com/basilroute/basilroute/service/features"
 )
 
-// Guards against a mechanism that goes on although the settings switch it off.
+// Guards against a mechanism that stays active although the settings switch it off.
 func TestFeaturesOfAnInstanceAreSwitchedOff(t *testing.T) {
 	others := []loadhub.Peer{{ID: "front-2", Address: netip.MustParseAddrPort("192.0.2.2:4")}}
 	for _, c := range []struct {
 		feature features.Name
-		atWork  func(n *Instance) bool
+		active  func(n *Instance) bool
 	}{
-		{features.LoadReports, func(n *Instance) bool { return len(n.castPeers(others)) > 0 }},
-		{features.StartupWait, func(n *Instance) bool { return n.mayWait() }},
-		{features.ConfirmLoans, func(n *Instance) bool { // goes on asking until the caller gives up
-			const patience = time.Second
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+		{features.LoadReports, func(n *Instance) bool { return len(n.loadReportPeers(others)) > 0 }},
+		{features.StartupWait, func(n *Instance) bool { return n.startupWaitAllowed() }},
+		{features.ConfirmLoans, func(n *Instance) bool { // keeps asking until the context ends
+			const timeout = time.Second
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			before := time.Now()
-			n.askSilent(ctx)
-			return time.Since(before) >= patience
+			n.queryLoans(ctx)
+			return time.Since(before) >= timeout
 		}},
 	} {
 		t.Run(string(c.feature), func(t *testing.T) {
@@ -38,11 +38,11 @@
 						features: features.NewSet(map[features.Name]bool{c.feature: on}),
 					}
 				}
-				if !c.atWork(instance(true)) {
-					t.Errorf("%s: not at work although it is on", c.feature)
+				if !c.active(instance(true)) {
+					t.Errorf("%s: inactive although it is on", c.feature)
 				}
-				if c.atWork(instance(false)) {
-					t.Errorf("%s: at work although it is off", c.feature)
+				if c.active(instance(false)) {
+					t.Errorf("%s: active although it is off", c.feature)
 				}
 			})
 		})
--- a/instance/routed/fleetload_bench_test.go
+++ b/instance/routed/fleetload_bench_test.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	wideLink     = 1e9 / 8 // bytes a second
+	wideLink     = 1e9 / 8 // bytes per second
 	loadAccounts = 19
-	loadRate     = 4.0 // requests a second at an instance
+	loadRate     = 4.0 // requests per second and instance
 	// loadTokens is what the largest kind of request costs; most others cost a fiftieth of it or less.
-	loadTokens  = 9300
-	loadQuota   = 1.8 // the accounts' rates by what their callers ask
-	leastQuota  = 29000.0
-	burstTime   = 2.0 // seconds of its rate that an account may save up
-	loadLasts   = 5 * time.Second
-	fleetSettle = 8 * time.Second
+	loadTokens   = 9300
+	loadQuota    = 1.8 // ratio of an account's rate to what its callers request
+	minQuota     = 29000.0
+	burstTime    = 2.0 // seconds of its rate that an account may accumulate
+	loadDuration = 5 * time.Second
+	settleTime   = 8 * time.Second
 )
 
-// loadKinds are the requests' costs in tokens with their parts of all requests.
-var loadKinds = []struct{ part, tokens float64 }{{0.38, loadTokens}, {0.36, 1100}, {0.26, 200}}
+// loadKinds are the requests' costs in tokens with their fractions of all requests.
+var loadKinds = []struct{ fraction, tokens float64 }{{0.38, loadTokens}, {0.36, 1100}, {0.26, 200}}
 
-// loadWeights are the accounts' parts of all requests: few large ones.
+// loadWeights returns the accounts' fractions of all requests: a few are large.
 func loadWeights() []float64 {
 	out, total := make([]float64, loadAccounts), 0.0
 	for i := range out {
@@ -46,15 +46,15 @@
 	return out
 }
 
-// loadConfig has the accounts of a fleet of a size.
+// loadConfig returns the accounts of a fleet of the given size.
 func loadConfig(instances int) map[string]*routes.Account {
 	mean := 0.0
 	for _, kind := range loadKinds {
-		mean += kind.part * kind.tokens
+		mean += kind.fraction * kind.tokens
 	}
 	out := make(map[string]*routes.Account)
 	for i, weight := range loadWeights() {
-		rate := max(leastQuota, loadQuota*weight*mean*loadRate*float64(instances))
+		rate := max(minQuota, loadQuota*weight*mean*loadRate*float64(instances))
 		name := fmt.Sprint("account-", i)
 		out[name] = &routes.Account{Name: name, Rate: rate, Burst: burstTime * rate, CountTokens: true, Priority: -1}
 	}
@@ -74,7 +74,7 @@
 func drawTokens(rng *rand.Rand) float64 {
 	at := rng.Float64()
 	for _, kind := range loadKinds {
-		if at -= kind.part; at < 0 {
+		if at -= kind.fraction; at < 0 {
 			return kind.tokens
 		}
 	}
@@ -95,16 +95,16 @@
 	return invoke(ctx, method, req, reply, conn, options...)
 }
 
-// admissions counts what became of requests for tokens.
+// admissions counts the requests for tokens and their outcomes.
 type admissions struct{ asked, refused, waited atomic.Int64 }
 
-// offer asks an instance for tokens as its callers do, until ctx ends.
+// offer requests tokens from an instance as its callers do, until ctx ends.
 func (a *admissions) offer(ctx context.Context, n *Instance, rng *rand.Rand, rate float64) {
 	weights := loadWeights()
 	var waiting sync.WaitGroup
 	defer waiting.Wait()
 	for ctx.Err() == nil {
-		pause(ctx, time.Duration(rng.ExpFloat64()/rate*float64(time.Second)))
+		sleep(ctx, time.Duration(rng.ExpFloat64()/rate*float64(time.Second)))
 		name, tokens, now := drawAccount(weights, rng), drawTokens(rng), time.Now()
 		a.asked.Add(1)
 		if _, ok := n.ledger.Admit(name, tokens, now); ok {
@@ -113,7 +113,7 @@
 		a.waited.Add(1)
 		waiter := n.ledger.Wait(name, tokens, 400*time.Millisecond, now)
 		waiting.Go(func() {
-			if verdict := <-waiter.Done; !verdict.OK {
+			if decision := <-waiter.Done; !decision.OK {
 				a.refused.Add(1)
 			}
 		})
@@ -126,7 +126,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkSizeFleetLoad shows what an instance spends on the others while callers ask for tokens.
+// BenchmarkSizeFleetLoad measures what an instance spends on communication with the others
+// while callers request tokens.
 func BenchmarkSizeFleetLoad(b *testing.B) {
 	for _, size := range []int{24, 48, 96, 192} {
 		b.Run(fmt.Sprint("n=", size), func(b *testing.B) {
@@ -141,16 +142,16 @@
 	var calls fleetCalls
 	f := newLoadFleet(b, size, &calls)
 	defer f.stop()
-	time.Sleep(fleetSettle)
+	time.Sleep(settleTime)
 	idle, idleCalls := processorTime(), calls.exchanges.Load()
-	time.Sleep(loadLasts)
+	time.Sleep(loadDuration)
 	idle, idleCalls = processorTime()-idle, calls.exchanges.Load()-idleCalls
 	began, exchanges, borrows := processorTime(), calls.exchanges.Load(), calls.borrows.Load()
-	ctx, stop := context.WithTimeout(context.Background(), loadLasts)
+	ctx, stop := context.WithTimeout(context.Background(), loadDuration)
 	defer stop()
 	var a admissions
 	var callers sync.WaitGroup
-	for i, n := range f.nodes {
+	for i, n := range f.instances {
 		callers.Go(func() { a.offer(ctx, n, rand.New(rand.NewPCG(1, uint64(i))), loadRate) })
 	}
 	callers.Wait()
@@ -158,7 +159,7 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	b.ReportMetric(float64(memory.HeapAlloc)/float64(size)/1e6, "heap-MB")
-	seconds := float64(size) * loadLasts.Seconds()
+	seconds := float64(size) * loadDuration.Seconds()
 	b.ReportMetric(idle.Seconds()*1000/seconds, "idle-ms/s")
 	b.ReportMetric(float64(idleCalls)/seconds, "idle-exchanges/s")
 	b.ReportMetric((processorTime()-began).Seconds()*1000/seconds, "ms/s")
--- a/instance/routed/follow.go
+++ b/instance/routed/follow.go
@@ -14,34 +14,36 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change. Silence beyond it and a
-	// call's timeout shows that the store is out of reach.
-	watchWait = 2 * time.Second
-	// minBackoff and maxBackoff are between calls that fail. All instances lose the
-	// store at once; without growing pauses they would use up its calls when it is
-	// back.
+	// watchTimeout is how long a watch waits for a change. A watch that stays without a
+	// response for longer than this plus a call's timeout shows that the store is
+	// unreachable.
+	watchTimeout = 2 * time.Second
+	// minBackoff and maxBackoff bound the time between calls that fail. All instances lose
+	// the store at once; without growing delays they would use up its call rate when it
+	// comes back.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
-	// awayAfter is how long calls fail before the store counts as out of reach.
-	awayAfter = 300 * time.Millisecond
-	// serversSettle is between a change of backend servers' entries and the next watch.
-	// Entries change in bursts, as when a release begins; without the pause each change
-	// of a burst is a call by each watcher. It is small against the seconds in which a
-	// leaving server has to be left alone.
-	serversSettle = 150 * time.Millisecond
+	// unreachableAfter is how long calls have to fail before the store is considered
+	// unreachable.
+	unreachableAfter = 300 * time.Millisecond
+	// serversDebounce is the time between a change of backend servers' entries and the next
+	// watch. Entries change in bursts, as when a release begins; without the delay, each
+	// change of a burst costs one call by each watcher. It is small against the seconds
+	// within which a leaving server must get no more requests.
+	serversDebounce = 150 * time.Millisecond
 )
 
-// follower keeps the mirror of one prefix up to date.
-type follower struct {
-	prefix  string
-	mirror  *mirror.Mirror
-	changed func([]mirror.Item)
-	settle  time.Duration // between a change and the next watch
-	failing atomic.Int64  // since when calls fail, in nanoseconds since the start; 0 while they succeed
+// prefixSync keeps the mirror of one prefix up to date.
+type prefixSync struct {
+	prefix       string
+	mirror       *mirror.Mirror
+	changed      func([]mirror.Item)
+	debounce     time.Duration // between a change and the next watch
+	failingSince atomic.Int64  // uptime in nanoseconds since which calls fail; 0 while they succeed
 }
 
-// follow lists the prefix and watches it until ctx ends.
-func (n *Instance) follow(ctx context.Context, f *follower) {
+// syncPrefix lists the prefix and watches it until ctx ends.
+func (n *Instance) syncPrefix(ctx context.Context, f *prefixSync) {
 	backoff := minBackoff
 	listed := false
 	for ctx.Err() == nil {
@@ -49,10 +51,10 @@
 		switch {
 		case err == nil:
 			listed, backoff = true, minBackoff
-			n.storeAnswered(f)
-			n.apply(f, delta, origin{way: wayStore})
-			if len(delta.Items) > 0 && f.settle > 0 {
-				pause(ctx, f.settle)
+			n.markStoreReachable(f)
+			n.applyDelta(f, delta, origin{source: sourceStore})
+			if len(delta.Items) > 0 && f.debounce > 0 {
+				sleep(ctx, f.debounce)
 			}
 			continue
 		case errors.Is(err, platform.ErrCompacted):
@@ -61,21 +63,21 @@
 		case ctx.Err() != nil:
 			return
 		default:
-			n.storeFailed(f, err)
+			n.markStoreFailing(f, err)
 		}
-		pause(ctx, backoff/2+rand.N(backoff))
+		sleep(ctx, backoff/2+rand.N(backoff))
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (n *Instance) read(ctx context.Context, f *follower, listed bool) (mirror.Delta, error) {
+func (n *Instance) read(ctx context.Context, f *prefixSync, listed bool) (mirror.Delta, error) {
 	store := n.source.Store()
 	after := f.mirror.Revision()
 	if !listed || after == 0 {
 		found, revision, err := store.List(ctx, f.prefix, 0)
 		return mirror.Delta{Revision: revision, Items: items(found), Full: true}, err
 	}
-	found, revision, err := store.Watch(ctx, f.prefix, after, watchWait)
+	found, revision, err := store.Watch(ctx, f.prefix, after, watchTimeout)
 	return mirror.Delta{After: after, Revision: revision, Items: items(found)}, err
 }
 
@@ -87,22 +89,22 @@
 	return out
 }
 
-func (n *Instance) apply(f *follower, d mirror.Delta, from origin) {
+func (n *Instance) applyDelta(f *prefixSync, d mirror.Delta, from origin) {
 	changed := f.mirror.Apply(d)
-	n.copies.arrived(f.prefix, from, d, changed)
+	n.syncMetrics.countItems(f.prefix, from, d, changed)
 	if len(changed) == 0 {
 		return
 	}
-	if from.way != wayStore {
-		n.log.Info("store_items_from_peer", "prefix", f.prefix, "way", from.way, "peer", from.peer, "items", len(changed),
+	if from.source != sourceStore {
+		n.log.Info("store_items_from_peer", "prefix", f.prefix, "way", from.source, "peer", from.peer, "items", len(changed),
 			"bytes", itemBytes(changed), "revision", d.Revision)
 	}
 	f.changed(changed)
-	n.announce()
+	n.notifyFollowers()
 }
 
-func (n *Instance) storeAnswered(f *follower) {
-	since := f.failing.Swap(0)
+func (n *Instance) markStoreReachable(f *prefixSync) {
+	since := f.failingSince.Swap(0)
 	if since == 0 {
 		return
 	}
@@ -112,10 +114,10 @@
 	}
 }
 
-func (n *Instance) storeFailed(f *follower, err error) {
-	n.copies.fail(wayStore)
+func (n *Instance) markStoreFailing(f *prefixSync, err error) {
+	n.syncMetrics.countFailure(sourceStore)
 	now := time.Now()
-	if f.failing.CompareAndSwap(0, int64(n.uptime())) {
+	if f.failingSince.CompareAndSwap(0, int64(n.uptime())) {
 		n.log.Info("store_lost", "prefix", f.prefix, "error", err.Error())
 	}
 	if f == n.servers {
@@ -123,35 +125,36 @@
 	}
 }
 
-// away tells whether the store has been out of reach for a while.
-func (f *follower) away(uptime time.Duration) bool {
-	since := time.Duration(f.failing.Load())
-	return since != 0 && uptime-since > awayAfter
+// unreachable reports whether calls have failed for longer than unreachableAfter.
+func (f *prefixSync) unreachable(uptime time.Duration) bool {
+	since := time.Duration(f.failingSince.Load())
+	return since != 0 && uptime-since > unreachableAfter
 }
 
-// storeAway tells whether any part of the store is out of reach.
-func (n *Instance) storeAway() bool {
-	for _, f := range n.followers {
-		if f.away(n.uptime()) || f.mirror.Revision() == 0 {
+// storeUnreachable reports whether any prefix is unreachable or has not been read yet.
+func (n *Instance) storeUnreachable() bool {
+	for _, f := range n.syncs {
+		if f.unreachable(n.uptime()) || f.mirror.Revision() == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// startTime is how long after its start an instance may lack what it needs to serve.
-const startTime = 2 * time.Second
+// startupPeriod is how long after its start an instance may lack what it needs to serve.
+const startupPeriod = 2 * time.Second
 
-// mayWait tells whether requests may wait for what this instance still has to learn.
-func (n *Instance) mayWait() bool {
-	return n.uptime() < startTime && n.features.On(features.StartupWait)
+// startupWaitAllowed reports whether requests may wait for state that this instance has not
+// received yet after its start.
+func (n *Instance) startupWaitAllowed() bool {
+	return n.uptime() < startupPeriod && n.features.On(features.StartupWait)
 }
 
-// uptime is by the steady clock: the time of day may jump.
+// uptime is measured by the monotonic clock, since the wall clock may jump.
 func (n *Instance) uptime() time.Duration { return time.Since(n.started) }
 
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/instance/routed/node.go
+++ b/instance/routed/instance.go
@@ -41,27 +41,27 @@
 	registry *prometheus.Registry
 	started  time.Time
 
-	routes     *routes.Table
-	backends   *backends.Table
-	members    *membership.Table
-	ledger     *quota.Ledger
-	shares     *quotashare.HolderSet
-	features   features.Set
-	quarantine *quarantine.List
-	local      *httproute.LocalDispatcher
-	front      *httproute.Front
-	relay      *httproute.Peer
-	pool       *peer.Pool
-	lending    *lending.Borrower
-	caster     *loadcast.Broadcaster
+	routes      *routes.Table
+	backends    *backends.Table
+	members     *membership.Table
+	ledger      *quota.Ledger
+	shares      *quotashare.HolderSet
+	features    features.Set
+	quarantine  *quarantine.List
+	local       *httproute.LocalDispatcher
+	front       *httproute.Front
+	relay       *httproute.Peer
+	pool        *peer.Pool
+	lending     *lending.Borrower
+	broadcaster *loadcast.Broadcaster
 
-	config, servers *follower
-	followers       []*follower
-	subscribers     sync.Map // channels of those who follow this instance
-	packs           packCache
-	catchUps        atomic.Int32 // others that catch up from this instance
-	catching        atomic.Bool  // this instance catches up from another one
-	receiving       atomic.Int32 // updates of which parts have come
+	config, servers *prefixSync
+	syncs           []*prefixSync
+	subscribers     sync.Map // channels that wake the followers of this instance
+	updateCache     packCache
+	catchUpsServed  atomic.Int32 // other instances that are catching up from this one
+	catchingUp      atomic.Bool  // this instance is catching up from another one
+	partialUpdates  atomic.Int32 // updates of which some chunks have arrived
 
 	poolMu sync.Mutex
 
@@ -70,52 +70,52 @@
 	ledgerConfig  int64
 	ledgerHolders int
 
-	looked        atomic.Value             // see looked
-	regional      atomic.Pointer[[]string] // live instances of the own region
-	fleetSize     atomic.Int64             // instances that share the retry budget
-	liveSize      atomic.Int64             // instances that can be reached
-	avoided       sync.Map                 // instances that could not be reached: uptime when
-	exchanging    sync.Map                 // peer addresses with an exchange under way
-	failures      sync.Map                 // peer address: exchanges that failed in a row
-	holderAddress sync.Map                 // peer address of each instance that shares the quotas, by id
-	news          chan struct{}
-	unreadable    prometheus.Counter
-	copies        *copyMetrics
+	appliedMembers  atomic.Value             // memberVersion that was last applied
+	regionMembers   atomic.Pointer[[]string] // ids of the live instances of the local region
+	fleetSize       atomic.Int64             // instances that share the retry budget
+	liveSize        atomic.Int64             // instances that can be reached
+	unreachableAt   sync.Map                 // uptime at which a call last failed to reach an instance, by its id
+	exchanging      sync.Map                 // peer addresses with an exchange in progress
+	failures        sync.Map                 // consecutive failed exchanges, by peer address
+	holderAddresses sync.Map                 // peer address of each instance that shares the quotas, by id
+	exchangeTrigger chan struct{}
+	unreadable      prometheus.Counter
+	syncMetrics     *syncMetrics
 
-	servicing []*http.Server
-	callers   *http.Server
-	peers     *grpc.Server
-	listeners map[string]net.Listener
-	failed    chan error
+	handlerServers []*http.Server
+	callers        *http.Server
+	peers          *grpc.Server
+	listeners      map[string]net.Listener
+	listenerErrors chan error
 
-	leaving    atomic.Bool  // says that it leaves
-	endsAt     atomic.Int64 // when it ends, in nanoseconds since its start; 0 before it leaves
-	stopping   atomic.Bool  // takes nothing more
+	leaving    atomic.Bool  // has announced that it is leaving
+	endsAt     atomic.Int64 // uptime in nanoseconds at which the process ends; 0 before it leaves
+	stopping   atomic.Bool  // refuses new requests
 	inFlight   atomic.Int64 // requests of callers and of peers
 	loops      sync.WaitGroup
 	background context.Context
 	stopLoops  context.CancelFunc
 }
 
-// Endpoints are the handlers of a deployment's own paths for readiness and the
-// directory, made from what the node answers.
+// Endpoints construct the handlers of a deployment's own paths for readiness and the
+// directory from the instance's functions.
 type Endpoints struct {
 	Ready     func(ready func() bool) http.Handler
 	Directory func(resolve func(DirectoryQuery) DirectoryAnswer) http.Handler
 }
 
 const (
-	serverDialTimeout = 400 * time.Millisecond // in the own region, where the way takes some milliseconds
-	peerDialTimeout   = 450 * time.Millisecond // three times the way there and back between regions
-	// userTimeout is how long bytes stay unacknowledged: several times the longest
-	// way there and back with one lost packet.
+	serverDialTimeout = 400 * time.Millisecond // in the local region, where the one-way delay is a few milliseconds
+	peerDialTimeout   = 450 * time.Millisecond // three round trips between regions
+	// userTimeout is how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT):
+	// several times the longest round trip with one lost packet.
 	userTimeout  = 1500 * time.Millisecond
-	maxIdleConns = 48 // for each server: what one instance has under way at a server at most
+	maxIdleConns = 48 // per server: the most requests that one instance has in flight at a server
 )
 
 // New binds the addresses. It serves nothing before Start.
 func New(settings Settings, source Source, codec httproute.Codec, endpoints Endpoints, log *slog.Logger) (*Instance, error) {
-	n := newNode(settings, source, codec, log)
+	n := newInstance(settings, source, codec, log)
 	if err := n.listen(endpoints); err != nil {
 		n.closeListeners()
 		return nil, err
@@ -123,8 +123,8 @@
 	return n, nil
 }
 
-// newNode returns a node that has no addresses yet.
-func newNode(settings Settings, source Source, codec httproute.Codec, log *slog.Logger) *Instance {
+// newInstance returns an instance whose addresses are not bound yet.
+func newInstance(settings Settings, source Source, codec httproute.Codec, log *slog.Logger) *Instance {
 	started := time.Now()
 	set := features.NewSet(settings.Features)
 	n := &Instance{
@@ -132,19 +132,19 @@
 		registry: prometheus.NewRegistry(), started: started,
 		routes: &routes.Table{}, backends: backends.New(), ledger: quota.New(settings.ID),
 		shares: quotashare.NewHolderSet(settings.ID, uint64(started.UnixNano())), quarantine: quarantine.New(),
-		pool: peer.NewPool(insecure.NewCredentials()), news: make(chan struct{}, 1),
-		listeners: make(map[string]net.Listener), failed: make(chan error, 8),
+		pool: peer.NewPool(insecure.NewCredentials()), exchangeTrigger: make(chan struct{}, 1),
+		listeners: make(map[string]net.Listener), listenerErrors: make(chan error, 8),
 	}
 	if !set.On(features.OvertakeLargeWaits) {
 		n.ledger.DisableOvertaking()
 	}
 	n.background, n.stopLoops = context.WithCancel(context.Background())
 	n.members = membership.New(n.selfEntry(), n.started)
-	n.regional.Store(&[]string{settings.ID})
+	n.regionMembers.Store(&[]string{settings.ID})
 	n.fleetSize.Store(1)
 	n.members.SetSeeds(n.staticSeeds())
-	n.makeFollowers(source)
-	n.quarantine.OnCrash(n.spread)
+	n.initSyncs(source)
+	n.quarantine.OnCrash(n.triggerExchange)
 	n.wire()
 	return n
 }
@@ -168,10 +168,10 @@
 	return out
 }
 
-func (n *Instance) makeFollowers(source Source) {
-	n.config = &follower{prefix: source.ConfigPrefix(), mirror: mirror.New(), changed: n.configChanged}
-	n.servers = &follower{prefix: source.ServersPrefix(), mirror: mirror.New(), changed: n.serversChanged, settle: serversSettle}
-	n.followers = []*follower{n.config, n.servers}
+func (n *Instance) initSyncs(source Source) {
+	n.config = &prefixSync{prefix: source.ConfigPrefix(), mirror: mirror.New(), changed: n.applyConfigItems}
+	n.servers = &prefixSync{prefix: source.ServersPrefix(), mirror: mirror.New(), changed: n.applyServerItems, debounce: serversDebounce}
+	n.syncs = []*prefixSync{n.config, n.servers}
 }
 
 func (n *Instance) wire() {
@@ -180,7 +180,7 @@
 		Namespace: "basilroute", Name: "unreadable_items_total", Help: "Items of the store that could not be read.",
 	})
 	n.registry.MustRegister(n.unreadable)
-	n.copies = newCopyMetrics(n.registry)
+	n.syncMetrics = newSyncMetrics(n.registry)
 	n.registerVersions()
 	metrics := httproute.NewMetrics(n.registry)
 	n.local = &httproute.LocalDispatcher{
@@ -191,53 +191,53 @@
 		Region: n.settings.Region, Codec: n.codec, Routes: n.routes, Ledger: n.ledger, Quarantine: n.quarantine,
 		Retries: retry.NewWindow(retry.WindowSettings{Ratio: n.settings.Retry.Ratio, Slack: n.settings.Retry.Slack, Window: n.settings.Retry.Window}),
 		Remotes: n, Local: n.local, Log: n.log, Metrics: metrics, Features: n.features,
-		Starting: n.mayWait, Stopping: n.stopping.Load, TimeToShutdown: n.remaining, Leaving: n.leaving.Load,
+		Starting: n.startupWaitAllowed, Stopping: n.stopping.Load, TimeToShutdown: n.timeToShutdown, Leaving: n.leaving.Load,
 		Peers: backendhttp.New(backendhttp.Settings{DialTimeout: peerDialTimeout, UserTimeout: userTimeout, MaxIdle: maxIdleConns}),
 	}
 	n.relay = &httproute.Peer{Codec: n.codec, Local: n.local, Routes: n.routes, Stopping: n.leaving.Load}
 	n.lending = &lending.Borrower{
 		Ledger: n.ledger, Pool: n.pool, Self: n.member, Lenders: n.lenders,
 		OnRefresh:      func(now time.Time) { n.ledger.Acknowledged(int64(n.shares.Size()), now) },
-		ApplyDocuments: n.updateHeld,
+		ApplyDocuments: n.updateHeldShare,
 	}
-	n.caster = loadcast.New(n.settings.ID, n.members.Self().GetIncarnation(),
+	n.broadcaster = loadcast.New(n.settings.ID, n.members.Self().GetIncarnation(),
 		loadhub.New(n.settings.ID, n.settings.Domain, int(n.settings.LinkMbps)))
-	n.caster.LoadReport, n.caster.ApplyReport = n.digest, n.absorb
+	n.broadcaster.LoadReport, n.broadcaster.ApplyReport = n.loadReport, n.applyLoadReport
 	n.callers = &http.Server{
-		Handler: n.counted(n.front), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		Handler: n.countInFlight(n.front), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	n.peers = grpc.NewServer(append(peer.ServerOptions(),
 		grpc.InitialWindowSize(peer.StreamWindow), grpc.InitialConnWindowSize(peer.StreamWindow))...)
-	peerpb.RegisterPeerServer(n.peers, &peer.Server{Runner: noGenerations{}, Exchanger: n, Quota: n, Follower: n})
+	peerpb.RegisterPeerServer(n.peers, &peer.Server{Runner: generationRefuser{}, Exchanger: n, Quota: n, Follower: n})
 }
 
 // Start serves and runs the loops until Stop.
 func (n *Instance) Start() {
-	n.goServe(n.callers, n.listeners["callers"])
+	n.serveAsync(n.callers, n.listeners["callers"])
 	go func() {
 		if err := n.peers.Serve(n.listeners["peers"]); err != nil {
-			n.failed <- err
+			n.listenerErrors <- err
 		}
 	}()
-	for _, loop := range []func(context.Context){n.followStore, n.join, n.reseed, n.exchange, n.askSilent, n.lending.Run, n.caster.Run, n.housekeep} {
+	for _, loop := range []func(context.Context){n.runStoreSync, n.join, n.reseed, n.exchange, n.queryLoans, n.lending.Run, n.broadcaster.Run, n.housekeep} {
 		n.loops.Go(func() { loop(n.background) })
 	}
 	n.log.Info("started", "region", n.settings.Region, "domain", n.settings.Domain, "callers", n.settings.Listen.Callers,
 		"peers", n.settings.Listen.Peers)
 }
 
-// Failed delivers the error of a listener that ended unasked.
-func (n *Instance) Failed() <-chan error { return n.failed }
+// Failed delivers the errors of listeners that ended unexpectedly.
+func (n *Instance) Failed() <-chan error { return n.listenerErrors }
 
 const (
-	housekeepEvery = 100 * time.Millisecond
-	sweepEvery     = time.Second
+	housekeepInterval = 100 * time.Millisecond
+	sweepInterval     = time.Second
 )
 
-// housekeep does what is due by the clock.
+// housekeep runs the periodic work.
 func (n *Instance) housekeep(ctx context.Context) {
-	ticker := time.NewTicker(housekeepEvery)
+	ticker := time.NewTicker(housekeepInterval)
 	defer ticker.Stop()
 	swept, version := time.Time{}, uint64(0)
 	for {
@@ -249,19 +249,20 @@
 		now := time.Now()
 		n.backends.Sweep(now)
 		n.clearLoans(now)
-		due := now.Sub(swept) >= sweepEvery
+		due := now.Sub(swept) >= sweepInterval
 		if v := n.backends.Version(); v != version || due {
 			version = v
 			n.refreshPools(now)
 		}
 		if due {
 			swept = now
-			n.lookAtMembers(now)
+			n.applyMembers(now)
 			n.local.Client.Sweep()
 			n.front.Peers.Sweep()
 		}
 	}
 }
 
-// Ready tells whether callers can be served: the configuration is known.
+// Ready reports whether callers can be served: the configuration is known and the instance
+// is not leaving.
 func (n *Instance) Ready() bool { return !n.leaving.Load() && n.routes.Current() != nil }
--- a/instance/routed/join.go
+++ b/instance/routed/join.go
@@ -14,39 +14,39 @@
 	"github.com/basilroute/basilroute/transport/platform"
 )
 
-// membersPrefix is where each instance writes one item of its own. The items are
-// whom to try at a start, and the set among which quotas are divided; they are never
-// taken away and no lease is on them. Who lives is told by the instances themselves.
+// membersPrefix is where each instance writes its own item. The items list the addresses to
+// try at a start, and the set of instances among which quotas are divided; they are never
+// deleted and not bound to a lease. Liveness is determined by exchanges between the instances.
 const membersPrefix = "fleet/members/"
 
-// memberItem is what an instance writes of itself.
+// memberItem is what an instance writes about itself.
 type memberItem struct {
 	ID     string `json:"id"`
 	Region string `json:"region"`
 	Domain string `json:"domain"`
 	Peer   string `json:"peer"`
-	Minted bool   `json:"minted"` // it has once minted its part of the quotas
+	Minted bool   `json:"minted"` // it has minted its share of the quotas at least once
 }
 
-// join writes this instance's item and reads all others', and writes once more when
-// the instance has begun to mint.
+// join writes this instance's item and reads those of all others. It writes the item again
+// once the instance has started to mint.
 func (n *Instance) join(ctx context.Context) {
 	minted := false
-	n.until(ctx, func() (err error) {
-		minted, err = n.enter(ctx)
+	n.retryUntilDone(ctx, func() (err error) {
+		minted, err = n.register(ctx)
 		return err
 	})
 	for ctx.Err() == nil && !n.shares.Mints() {
-		pause(ctx, minBackoff)
+		sleep(ctx, minBackoff)
 	}
 	if minted {
 		return
 	}
-	n.until(ctx, func() error { return n.putMember(ctx, true) })
+	n.retryUntilDone(ctx, func() error { return n.putMember(ctx, true) })
 }
 
-// until tries until it succeeds or ctx ends.
-func (n *Instance) until(ctx context.Context, try func() error) {
+// retryUntilDone calls try with backoff until it succeeds or ctx ends.
+func (n *Instance) retryUntilDone(ctx context.Context, try func() error) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		err := try()
@@ -54,23 +54,23 @@
 			return
 		}
 		n.log.Debug("store_call_failed", "error", err.Error())
-		pause(ctx, backoff/2+rand.N(backoff))
+		sleep(ctx, backoff/2+rand.N(backoff))
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// enter makes this instance known and learns of the others. minted tells whether it
-// has minted before. One that the store knows from an earlier lifetime needs a single
-// call: its item stood there before it read the others', and until then every account is
-// refused here.
-func (n *Instance) enter(ctx context.Context) (minted bool, err error) {
+// register writes this instance's item unless the store has it, and reads the others'.
+// minted reports whether the instance has minted before. An instance whose item is stored
+// from an earlier incarnation needs a single call: the item was there before it read the
+// others', and until the call returns every account is refused on this instance.
+func (n *Instance) register(ctx context.Context) (minted bool, err error) {
 	found, err := n.listMembers(ctx)
 	if err != nil {
 		return false, err
 	}
-	own := found[n.settings.ID]
-	if own.Peer != n.settings.Listen.Peers {
-		if err := n.putMember(ctx, own.Minted); err != nil {
+	stored := found[n.settings.ID]
+	if stored.Peer != n.settings.Listen.Peers {
+		if err := n.putMember(ctx, stored.Minted); err != nil {
 			return false, err
 		}
 		if found, err = n.listMembers(ctx); err != nil {
@@ -81,20 +81,20 @@
 	var holders []quotashare.Holder
 	for _, m := range found {
 		holders = append(holders, quotashare.Holder{ID: m.ID, Domain: m.Domain})
-		n.holderAddress.Store(m.ID, m.Peer)
+		n.holderAddresses.Store(m.ID, m.Peer)
 		seeds = append(seeds, membership.Seed{ID: m.ID, PeerAddress: m.Peer, Region: m.Region, Domain: m.Domain})
 	}
 	n.members.SetSeeds(append(seeds, n.staticSeeds()...))
-	if own.Minted {
+	if stored.Minted {
 		n.shares.RecordMinted()
 	} else if !n.shares.Mints() {
 		n.shares.RecordNeverMinted()
 	}
 	n.shares.Merge(holders, true)
-	n.log.Info("joined", "holders", len(found), "minted_before", own.Minted)
-	n.quotasChanged()
-	n.spread()
-	return own.Minted, nil
+	n.log.Info("joined", "holders", len(found), "minted_before", stored.Minted)
+	n.updateLedgerHolders()
+	n.triggerExchange()
+	return stored.Minted, nil
 }
 
 // listMembers reads the items of all instances, by id.
@@ -135,25 +135,25 @@
 	return err
 }
 
-// quotasChanged hands a changed set of instances to the ledger.
-func (n *Instance) quotasChanged() {
+// updateLedgerHolders passes a changed set of instances to the ledger.
+func (n *Instance) updateLedgerHolders() {
 	if config := n.routes.Current(); config != nil {
-		n.updateAccounts(config)
+		n.updateLedger(config)
 	}
 }
 
-// reseedEvery is how often an instance that reaches no other one reads again whom to
-// try: those that it knew may have been replaced.
-const reseedEvery = 5 * time.Second
+// reseedInterval is how often an instance that reaches no other one reads the seeds again:
+// the instances that it knew may have been replaced.
+const reseedInterval = 5 * time.Second
 
-// reseed reads the members again while this instance is alone.
+// reseed reads the members again while this instance reaches no other one.
 func (n *Instance) reseed(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, reseedEvery)
-		if fleet, _ := n.reachable(); fleet > 1 || ctx.Err() != nil {
+		sleep(ctx, reseedInterval)
+		if fleet, _ := n.reachableCounts(); fleet > 1 || ctx.Err() != nil {
 			continue
 		}
-		if _, err := n.enter(ctx); err != nil {
+		if _, err := n.register(ctx); err != nil {
 			n.log.Debug("store_call_failed", "error", err.Error())
 		}
 	}
--- a/instance/routed/bulk_test.go
+++ b/instance/routed/largeconfig_test.go
@@ -18,12 +18,14 @@
 )
 
 const (
-	narrowLink = 10e6 / 8 // bytes a second
-	// inForce is how long an accepted configuration may take to be in force everywhere.
-	inForce = 5 * time.Second
+	narrowLink = 10e6 / 8 // bytes per second
+	// inForceLimit is how long an accepted configuration may take to be in force on every
+	// instance.
+	inForceLimit = 5 * time.Second
 )
 
-// manyRoutes is a configuration of a version as operators write it: names differ, the rest repeats.
+// manyRoutes returns a configuration of a given version as operators write it: names
+// differ, the rest repeats.
 func manyRoutes(version int64, count int) []byte {
 	rng := rand.New(rand.NewPCG(1, uint64(version)))
 	var out strings.Builder
@@ -36,8 +38,8 @@
 	return []byte(out.String())
 }
 
-// noise is a configuration of a version in which nothing repeats.
-func noise(version int64, size int) []byte {
+// incompressibleConfig returns a configuration of a given version in which nothing repeats.
+func incompressibleConfig(version int64, size int) []byte {
 	rng := rand.New(rand.NewPCG(2, uint64(version)))
 	out := fmt.Appendf(nil, "%d\n", version)
 	for len(out) < size {
@@ -46,61 +48,64 @@
 	return out
 }
 
-// Guards against a large configuration that never gets through to instances with narrow links.
+// Guards against a large configuration that never reaches instances with narrow links.
 func TestLargeConfigurationIsInForceBehindNarrowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const instances, routeCount = 11, 2800
-		f := startBulkFleet(t, slices.Repeat([]float64{narrowLink}, instances)...)
+		f := startTestFleet(t, slices.Repeat([]float64{narrowLink}, instances)...)
 		defer f.stop()
 		f.store.serveOnly(func(id string) bool { return id == "front-3" })
 		before := f.sent()
 		for version := int64(2); version <= 3; version++ {
 			f.store.set("config/current", manyRoutes(version, routeCount))
-			time.Sleep(inForce)
+			time.Sleep(inForceLimit)
 			f.wantVersion(version)
 		}
 		t.Logf("%d bytes sent for two versions of %d", f.sent()-before, len(manyRoutes(2, routeCount)))
 	})
 }
 
-// Guards against a large configuration that nothing makes smaller and that takes longer than a watcher may be silent.
+// Guards against a large configuration that compression does not shrink and whose transfer
+// takes longer than followIdleTimeout.
 func TestIncompressibleConfigurationGetsThroughNarrowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const instances, size = 11, 400 << 10
-		f := startBulkFleet(t, slices.Repeat([]float64{narrowLink}, instances)...)
+		f := startTestFleet(t, slices.Repeat([]float64{narrowLink}, instances)...)
 		defer f.stop()
 		f.store.serveOnly(func(id string) bool { return id == "front-3" })
-		time.Sleep(fleetStart) // until all know who watches the store
-		f.store.set("config/current", noise(2, size))
-		time.Sleep(inForce)
+		time.Sleep(fleetStartTime) // until all know who watches the store
+		f.store.set("config/current", incompressibleConfig(2, size))
+		time.Sleep(inForceLimit)
 		f.wantVersion(2)
 	})
 }
 
-// Guards against an instance that follows nobody and never gets what is too large for an exchange.
+// Guards against an instance that follows no watcher and never gets what is too large for
+// an exchange.
 func TestInstanceCatchesUpOnWhatAnExchangeNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newBulkFleet(t, 2)
+		f := newTestFleet(t, 2)
 		defer f.stop()
 		first := f.add(narrowLink)
-		first.loops.Go(func() { first.followStore(first.background) })
+		first.loops.Go(func() { first.runStoreSync(first.background) })
 		f.add(narrowLink)
-		time.Sleep(fleetStart)
+		time.Sleep(fleetStartTime)
 		f.wantVersion(1)
 		f.store.set("config/current", manyRoutes(2, 2800))
-		time.Sleep(inForce)
+		time.Sleep(inForceLimit)
 		f.wantVersion(2)
 	})
 }
 
-// sentUpdates is a stream that keeps what is sent, and holds it up on request.
-type sentUpdates struct {
+// recordingStream is a stream that records what is sent; if held is set, each send waits
+// for it.
+type recordingStream struct {
 	grpc.ServerStreamingServer[peerpb.FollowUpdate]
 	sent []*peerpb.FollowUpdate
 	held chan struct{}
 }
 
-func (s *sentUpdates) Send(u *peerpb.FollowUpdate) error {
+func (s *recordingStream) Send(u *peerpb.FollowUpdate) error {
 	if s.held != nil {
 		<-s.held
 	}
@@ -110,16 +115,17 @@
 
 func largeViews() []*peerpb.StoreView {
 	return []*peerpb.StoreView{{Prefix: "config/", Revision: 2, After: 1, Items: []*peerpb.Document{
-		{Key: "config/current", Revision: 2, Value: noise(2, 100<<10)},
+		{Key: "config/current", Revision: 2, Value: incompressibleConfig(2, 100<<10)},
 	}}}
 }
 
-// Guards against a peer of an earlier version that takes an update in parts for one without items.
+// Guards against a peer of an earlier version that mistakes an update in chunks for one
+// without items.
 func TestPeerThatTakesNoPartsGetsWholeUpdates(t *testing.T) {
-	n := newNode(DefaultSettings(), bulkSource{client: &bulkClient{store: newBulkStore()}}, nil, slog.New(slog.DiscardHandler))
+	n := newInstance(DefaultSettings(), testSource{client: &memoryClient{store: newMemoryStore()}}, nil, slog.New(slog.DiscardHandler))
 	views := largeViews()
 	for parts, want := range map[bool]int{false: len(views[0].GetItems()), true: 0} {
-		var stream sentUpdates
+		var stream recordingStream
 		if err := n.sendUpdate(&stream, views, parts); err != nil {
 			t.Fatal(err)
 		}
@@ -135,21 +141,22 @@
 	}
 }
 
-// Guards against a whole fleet that catches up from one instance at once and fills its link.
+// Guards against a whole fleet that catches up from one instance at once and saturates its
+// link.
 func TestFewCatchUpFromOneInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNode(DefaultSettings(), bulkSource{client: &bulkClient{store: newBulkStore()}}, nil, slog.New(slog.DiscardHandler))
+		n := newInstance(DefaultSettings(), testSource{client: &memoryClient{store: newMemoryStore()}}, nil, slog.New(slog.DiscardHandler))
 		held := make(chan struct{})
-		for range catchUpServes {
-			go func() { _ = n.Follow(&peerpb.FollowRequest{Once: true}, &sentUpdates{held: held}) }()
+		for range maxCatchUpsServed {
+			go func() { _ = n.Follow(&peerpb.FollowRequest{Once: true}, &recordingStream{held: held}) }()
 		}
 		synctest.Wait()
-		if err := n.Follow(&peerpb.FollowRequest{Once: true}, &sentUpdates{}); status.Code(err) != codes.ResourceExhausted {
+		if err := n.Follow(&peerpb.FollowRequest{Once: true}, &recordingStream{}); status.Code(err) != codes.ResourceExhausted {
 			t.Errorf("one too many: %v", err)
 		}
 		close(held)
 		synctest.Wait()
-		if err := n.Follow(&peerpb.FollowRequest{Once: true}, &sentUpdates{}); err != nil {
+		if err := n.Follow(&peerpb.FollowRequest{Once: true}, &recordingStream{}); err != nil {
 			t.Errorf("after the others: %v", err)
 		}
 	})
--- a/instance/routed/listen.go
+++ b/instance/routed/listen.go
@@ -8,7 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// listenConfig has short keep-alive probes: a caller behind a cut link never closes.
+// listenConfig has short keep-alive probes: a caller behind a cut link never closes its
+// connection.
 var listenConfig = net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}}
 
 func (n *Instance) bind(name, address string) (net.Listener, error) {
@@ -22,8 +23,8 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// idleTimeout of callers' connections is above what operators allow callers, so
-	// that a request never crosses the close of an idle connection.
+	// idleTimeout of callers' connections is above the idle time that operators allow
+	// callers, so that a request never crosses the close of an idle connection.
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
@@ -35,14 +36,14 @@
 	}{
 		{"ready", n.settings.Listen.Ready, endpoints.Ready(n.Ready)},
 		{"directory", n.settings.Listen.Directory, endpoints.Directory(n.Resolve)},
-		{"relay", n.settings.Listen.Relay, n.counted(n.relay)},
+		{"relay", n.settings.Listen.Relay, n.countInFlight(n.relay)},
 	} {
 		if _, err := n.bind(l.name, l.address); err != nil {
 			return err
 		}
-		n.service(l.handler, n.listeners[l.name])
+		n.serveHandler(l.handler, n.listeners[l.name])
 	}
-	if err := n.caster.Listen(n.settings.Listen.Relay); err != nil { // the same number, as datagrams
+	if err := n.broadcaster.Listen(n.settings.Listen.Relay); err != nil { // UDP, on the same port
 		return err
 	}
 	if _, err := n.bind("callers", n.settings.Listen.Callers); err != nil {
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// listenMetrics serves metrics and the state dump where the settings name an address. Callers
-// are served without them too, so an address that is taken stops nothing.
+// listenMetrics serves metrics and the state dump if the settings name an address. Callers
+// are served without them too, so an address that is in use does not stop the instance.
 func (n *Instance) listenMetrics() {
 	if n.settings.Listen.Metrics == "" {
 		return
@@ -66,20 +67,20 @@
 		n.log.Error("metrics_unavailable", "address", n.settings.Listen.Metrics, "error", err.Error())
 		return
 	}
-	n.service(n.operatorHandler(), l)
+	n.serveHandler(n.operatorHandler(), l)
 }
 
-// service runs one of the servers beside that of callers.
-func (n *Instance) service(handler http.Handler, l net.Listener) {
+// serveHandler runs one of the HTTP servers other than that of callers.
+func (n *Instance) serveHandler(handler http.Handler, l net.Listener) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: n.callers.ErrorLog}
-	n.servicing = append(n.servicing, server)
-	n.goServe(server, l)
+	n.handlerServers = append(n.handlerServers, server)
+	n.serveAsync(server, l)
 }
 
-func (n *Instance) goServe(server *http.Server, l net.Listener) {
+func (n *Instance) serveAsync(server *http.Server, l net.Listener) {
 	go func() {
 		if err := server.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			n.failed <- err
+			n.listenerErrors <- err
 		}
 	}()
 }
@@ -90,8 +91,8 @@
 	}
 }
 
-// counted keeps count of the requests in flight, for the planned stop.
-func (n *Instance) counted(next http.Handler) http.Handler {
+// countInFlight counts the requests in flight, for the graceful shutdown.
+func (n *Instance) countInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.inFlight.Add(1)
 		defer n.inFlight.Add(-1)
--- a/instance/routed/loans.go
+++ b/instance/routed/loans.go
@@ -10,43 +10,45 @@
 	"github.com/basilroute/basilroute/service/features"
 )
 
-// A restarted instance lends nothing and uses a part of its share only until it is sure
-// that no loan of its predecessor can still be spent. Until then a long prompt, which
-// needs the tokens of several instances, is refused. After a restart of the whole fleet
-// that is every long prompt.
+// A restarted instance lends nothing and uses only a fraction of its share until it is
+// certain that no loan of its predecessor can still be spent. Until then a long prompt,
+// which needs the tokens of several instances, is refused. After a restart of the whole
+// fleet that is every long prompt.
 const (
-	// silentEvery is between two rounds of questions, and silentFan how many instances
-	// are asked in one, so that each of some ninety has been asked within half a second. By
-	// the exchanges alone, which go to a few at random, it takes as long as loans run.
-	silentEvery = 100 * time.Millisecond
-	silentFan   = 24
-	// silentWait bounds one question: three times the way there and back between regions.
-	silentWait = 500 * time.Millisecond
+	// loanQueryInterval is the time between two rounds of queries, and loanQueryFanout the
+	// number of instances queried in one, so that each of some ninety is queried within
+	// half a second. By the exchanges alone, which go to a few instances at random, it
+	// takes as long as loans are valid.
+	loanQueryInterval = 100 * time.Millisecond
+	loanQueryFanout   = 24
+	// loanQueryTimeout bounds one query: three round trips between regions.
+	loanQueryTimeout = 500 * time.Millisecond
 )
 
-// askSilent asks all that share the quotas whether they hold loans of a predecessor.
-func (n *Instance) askSilent(ctx context.Context) {
+// queryLoans asks all instances that share the quotas whether they hold loans of a
+// predecessor.
+func (n *Instance) queryLoans(ctx context.Context) {
 	for ctx.Err() == nil && !n.shares.Cleared() && n.features.On(features.ConfirmLoans) {
-		silent := n.shares.Unconfirmed()
-		rand.Shuffle(len(silent), func(a, b int) { silent[a], silent[b] = silent[b], silent[a] })
-		for _, id := range silent[:min(len(silent), silentFan)] {
-			if address, ok := n.holderAddress.Load(id); ok {
-				n.loops.Go(func() { n.askOwed(ctx, id, address.(string)) })
+		unconfirmed := n.shares.Unconfirmed()
+		rand.Shuffle(len(unconfirmed), func(a, b int) { unconfirmed[a], unconfirmed[b] = unconfirmed[b], unconfirmed[a] })
+		for _, id := range unconfirmed[:min(len(unconfirmed), loanQueryFanout)] {
+			if address, ok := n.holderAddresses.Load(id); ok {
+				n.loops.Go(func() { n.queryLoansOf(ctx, id, address.(string)) })
 			}
 		}
-		pause(ctx, silentEvery)
+		sleep(ctx, loanQueryInterval)
 	}
 }
 
-// askOwed asks one of them. An instance that cannot be reached may hold a loan: it is
-// asked again, until loans have expired.
-func (n *Instance) askOwed(ctx context.Context, id, address string) {
+// queryLoansOf queries one instance. An instance that cannot be reached may hold a loan: it
+// is queried again until loans have expired.
+func (n *Instance) queryLoansOf(ctx context.Context, id, address string) {
 	client, err := n.pool.Get(address)
 	if err != nil {
 		n.log.Error("peer_address", "address", address, "error", err.Error())
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, silentWait)
+	ctx, cancel := context.WithTimeout(ctx, loanQueryTimeout)
 	defer cancel()
 	resp, err := client.Exchange(ctx, &peerpb.ExchangeRequest{From: n.settings.ID, LentBefore: true})
 	if err != nil {
@@ -58,7 +60,7 @@
 	}
 }
 
-// clearLoans lets this instance use its whole part when nothing that a predecessor lent
+// clearLoans lets this instance use its whole share once nothing that a predecessor lent
 // can be spent any more.
 func (n *Instance) clearLoans(now time.Time) {
 	if n.shares.TryClear(!now.Before(quota.LoanExpiry(n.started))) {
--- a/instance/routed/members.go
+++ b/instance/routed/members.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	exchangeSoon = 300 * time.Millisecond // between rounds while the store is out of reach
-	exchangeWait = 1500 * time.Millisecond
-	// dropAfter is how many exchanges in a row fail before the connection is given
-	// up: one that went silent never heals, and a new one may work.
-	dropAfter = 2
-	// exchangeFirst is between rounds until this instance may mint: after a restart of
-	// the whole fleet every account waits for it.
-	exchangeFirst = 100 * time.Millisecond
+	storeDownExchangeInterval = 300 * time.Millisecond // between rounds while the store is unreachable
+	exchangeTimeout           = 1500 * time.Millisecond
+	// dropAfterFailures is the number of consecutive failed exchanges after which the
+	// connection is dropped: one that has gone idle never recovers, and a new one may work.
+	dropAfterFailures = 2
+	// startupExchangeInterval is the time between rounds until this instance may mint:
+	// after a restart of the whole fleet every account waits for it.
+	startupExchangeInterval = 100 * time.Millisecond
 )
 
-// exchange brings the own view and the peers' together, each second, at once after
-// news, and more often while the store is out of reach.
+// exchange synchronizes state with the peers: each second, at once after an update, and
+// more often at startup and while the store is unreachable.
 func (n *Instance) exchange(ctx context.Context) {
 	last := time.Time{}
 	for ctx.Err() == nil {
@@ -48,27 +48,27 @@
 				n.exchangeWith(ctx, address)
 			})
 		}
-		wait := membership.RoundInterval
+		interval := membership.RoundInterval
 		switch {
 		case !n.shares.Cleared():
-			wait = exchangeFirst
-		case n.storeAway():
-			wait = exchangeSoon
+			interval = startupExchangeInterval
+		case n.storeUnreachable():
+			interval = storeDownExchangeInterval
 		}
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(interval)
 		select {
 		case <-timer.C:
-		case <-n.news:
+		case <-n.exchangeTrigger:
 		case <-ctx.Done():
 		}
 		timer.Stop()
 	}
 }
 
-// spread starts a round at once.
-func (n *Instance) spread() {
+// triggerExchange starts a round at once.
+func (n *Instance) triggerExchange() {
 	select {
-	case n.news <- struct{}{}:
+	case n.exchangeTrigger <- struct{}{}:
 	default:
 	}
 }
@@ -79,11 +79,11 @@
 		n.log.Error("peer_address", "address", address, "error", err.Error())
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, exchangeWait)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	req := n.members.Request(n.members.ByPeerAddress(address))
 	req.Quarantines = peer.EncodeQuarantines(n.quarantine.Records(time.Now()))
-	req.StoreViews = n.knowledge()
+	req.StoreViews = n.knownRevisions()
 	req.LentBefore = !n.shares.Cleared()
 	req.QuotaHash = n.shares.Hash()
 	req.ConfigRevision = n.members.Self().GetConfigRevision()
@@ -93,73 +93,73 @@
 		return
 	}
 	n.failures.Delete(address)
-	n.takeResponse(ctx, client, req, resp)
+	n.applyResponse(ctx, client, req, resp)
 }
 
-// exchangeFailed gives up a connection that has gone silent.
+// exchangeFailed counts a failed exchange and drops a connection that no longer works.
 func (n *Instance) exchangeFailed(address string, err error) {
 	count, _ := n.failures.LoadOrStore(address, 0)
 	failed, _ := count.(int)
 	failed++
 	n.failures.Store(address, failed)
-	n.copies.fail(wayExchange)
+	n.syncMetrics.countFailure(sourceExchange)
 	if failed == 1 {
 		n.log.Info("peer_silent", "address", address, "error", err.Error())
 	}
-	if failed%dropAfter == 0 {
+	if failed%dropAfterFailures == 0 {
 		n.pool.Drop(address)
 	}
 }
 
-func (n *Instance) takeResponse(ctx context.Context, client peerpb.PeerClient, asked *peerpb.ExchangeRequest, resp *peerpb.ExchangeResponse) {
+func (n *Instance) applyResponse(ctx context.Context, client peerpb.PeerClient, req *peerpb.ExchangeRequest, resp *peerpb.ExchangeResponse) {
 	next := n.members.ApplyResponse(resp, time.Now())
-	n.takeViews(resp.GetStoreViews(), origin{way: wayExchange, peer: resp.GetFrom()})
+	n.applyViews(resp.GetStoreViews(), origin{source: sourceExchange, peer: resp.GetFrom()})
 	n.catchUp(client, resp.GetFrom(), resp.GetStoreViews())
 	for _, q := range resp.GetQuarantines() {
 		n.quarantine.Merge(peer.DecodeQuarantine(q))
 	}
-	if asked.GetLentBefore() && !resp.GetOwes() {
+	if req.GetLentBefore() && !resp.GetOwes() {
 		n.shares.ConfirmNoLoans(resp.GetFrom())
 	}
-	n.takeHolders(resp)
+	n.mergeHolders(resp)
 	if next != nil {
-		followed, err := client.Exchange(ctx, next)
+		followUp, err := client.Exchange(ctx, next)
 		if err != nil {
 			n.log.Debug("exchange_follow_up", "error", err.Error())
 		} else {
-			n.members.ApplyResponse(followed, time.Now())
+			n.members.ApplyResponse(followUp, time.Now())
 		}
 	}
-	n.lookAtNews(time.Now())
+	n.applyMemberChanges(time.Now())
 }
 
-// looked is what lookAtMembers has taken in: the changes of entries, by the set of instances
-// that share the quotas.
-type looked struct{ changes, holders uint64 }
+// memberVersion identifies the state that applyMembers has applied: the change count of the
+// entries and the hash of the instances that share the quotas.
+type memberVersion struct{ changes, holders uint64 }
 
-// lookAtNews is lookAtMembers, unless nothing has changed since the last look. A large fleet's
-// exchanges mostly bring nothing.
-func (n *Instance) lookAtNews(now time.Time) {
-	if n.looked.Load() != (looked{n.members.Changes(), n.shares.Hash()}) {
-		n.lookAtMembers(now)
+// applyMemberChanges is applyMembers, unless nothing has changed since the last call. In a
+// large fleet most exchanges bring no change.
+func (n *Instance) applyMemberChanges(now time.Time) {
+	if n.appliedMembers.Load() != (memberVersion{n.members.Changes(), n.shares.Hash()}) {
+		n.applyMembers(now)
 	}
 }
 
-// takeHolders takes in a peer's set of the instances among which quotas are divided.
-func (n *Instance) takeHolders(resp *peerpb.ExchangeResponse) {
+// mergeHolders merges a peer's set of the instances among which quotas are divided.
+func (n *Instance) mergeHolders(resp *peerpb.ExchangeResponse) {
 	if len(resp.GetQuotaHolders()) == 0 {
 		return
 	}
-	holders, hasOwn := make([]quotashare.Holder, 0, len(resp.GetQuotaHolders())), false
+	holders, hasSelf := make([]quotashare.Holder, 0, len(resp.GetQuotaHolders())), false
 	for _, h := range resp.GetQuotaHolders() {
 		holders = append(holders, quotashare.Holder{ID: h.GetId(), Domain: h.GetDomain()})
-		hasOwn = hasOwn || h.GetId() == n.settings.ID
+		hasSelf = hasSelf || h.GetId() == n.settings.ID
 	}
 	before := n.shares.Size()
-	n.shares.Merge(holders, resp.GetQuotaComplete() && hasOwn)
+	n.shares.Merge(holders, resp.GetQuotaComplete() && hasSelf)
 	if n.shares.Size() != before {
-		n.quotasChanged()
-		n.spread()
+		n.updateLedgerHolders()
+		n.triggerExchange()
 	}
 }
 
@@ -177,7 +177,7 @@
 		n.quarantine.Merge(peer.DecodeQuarantine(q))
 	}
 	resp.Quarantines = peer.EncodeQuarantines(n.quarantine.Records(now))
-	resp.StoreViews = n.offered(req.GetStoreViews())
+	resp.StoreViews = n.exchangeViews(req.GetStoreViews())
 	if hash := n.shares.Hash(); hash != 0 && hash != req.GetQuotaHash() {
 		resp.QuotaComplete = n.shares.Complete()
 		for _, h := range n.shares.Holders() {
@@ -187,9 +187,9 @@
 	return resp
 }
 
-// lookAtMembers takes in what the members say of quota shares, and who lives.
-func (n *Instance) lookAtMembers(now time.Time) {
-	n.looked.Store(looked{n.members.Changes(), n.shares.Hash()})
+// applyMembers applies what the members report of quota shares, and which of them are live.
+func (n *Instance) applyMembers(now time.Time) {
+	n.appliedMembers.Store(memberVersion{n.members.Changes(), n.shares.Hash()})
 	var regional []string
 	var peers []loadhub.Peer
 	fleet := 0
@@ -212,27 +212,27 @@
 		}
 	}
 	if n.shares.AgreementHash() != agreed {
-		n.spread() // an instance that joins waits for this word of all others
+		n.triggerExchange() // a joining instance waits for this report of all others
 	}
-	n.caster.SetPeers(n.castPeers(peers))
-	n.regional.Store(&regional)
+	n.broadcaster.SetPeers(n.loadReportPeers(peers))
+	n.regionMembers.Store(&regional)
 	n.fleetSize.Store(int64(max(fleet, n.shares.Size())))
 	n.liveSize.Store(int64(fleet))
 }
 
-// InstanceCounts implements httproute.Remotes. The fleet counts those too that cannot be
-// reached: they go on spending their part of what is shared.
+// InstanceCounts implements httproute.Remotes. The fleet includes instances that cannot be
+// reached: they continue to spend their share.
 func (n *Instance) InstanceCounts() (fleet, region int) {
-	return int(max(n.fleetSize.Load(), 1)), max(len(*n.regional.Load()), 1)
+	return int(max(n.fleetSize.Load(), 1)), max(len(*n.regionMembers.Load()), 1)
 }
 
-// reachable returns how many instances of the fleet can be reached, this one included,
-// and how many of them are in the own region.
-func (n *Instance) reachable() (fleet, region int) {
-	return int(n.liveSize.Load()), len(*n.regional.Load())
+// reachableCounts returns how many instances of the fleet can be reached, this one
+// included, and how many of them are in the local region.
+func (n *Instance) reachableCounts() (fleet, region int) {
+	return int(n.liveSize.Load()), len(*n.regionMembers.Load())
 }
 
-// rendezvousTop returns the member that the hash names for a key.
+// rendezvousTop returns the member with the highest rendezvous hash for a key.
 func rendezvousTop(members []string, key string) string {
 	top, best := "", uint64(0)
 	for _, m := range members {
@@ -243,8 +243,9 @@
 	return top
 }
 
-// castPeers returns with which of the region's other instances this one shares its load.
-func (n *Instance) castPeers(others []loadhub.Peer) []loadhub.Peer {
+// loadReportPeers returns the region's instances with which this one exchanges load
+// reports: none if the feature is off.
+func (n *Instance) loadReportPeers(others []loadhub.Peer) []loadhub.Peer {
 	if !n.features.On(features.LoadReports) {
 		return nil
 	}
--- a/instance/routed/metrics.go
+++ b/instance/routed/metrics.go
@@ -8,33 +8,33 @@
 
 // origin is where items of the store come from.
 type origin struct {
-	way  string // one of the ways below
-	peer string // its id or address; empty for the store
+	source string // one of the sources below
+	peer   string // id or address of the peer; empty for the store
 }
 
-// Ways on which items of the store reach an instance.
+// Sources from which items of the store reach an instance.
 const (
-	wayStore    = "store"
-	wayWatcher  = "watcher"  // an instance that is followed
-	wayExchange = "exchange" // an instance that views were exchanged with
-	wayCatchUp  = "catch_up" // the same, where it had more than an exchange carries
+	sourceStore    = "store"
+	sourceWatcher  = "watcher"  // an instance that is followed
+	sourceExchange = "exchange" // an instance that views were exchanged with
+	sourceCatchUp  = "catch_up" // an instance that had more than an exchange carries
 )
 
 // Results of items that arrived.
 const (
-	itemsTaken = "taken"
-	itemsKnown = "known" // nothing in them was new: a copy too many
+	itemsNew       = "taken"
+	itemsRedundant = "known" // nothing in them was new: a redundant copy
 )
 
-// copyMetrics are the series that tell how the store's items get here.
-type copyMetrics struct {
+// syncMetrics are the series on how the store's items reach this instance.
+type syncMetrics struct {
 	bytes  *prometheus.CounterVec
 	failed *prometheus.CounterVec
 }
 
-func newCopyMetrics(registry prometheus.Registerer) *copyMetrics {
+func newSyncMetrics(registry prometheus.Registerer) *syncMetrics {
 	const namespace = "basilroute"
-	m := &copyMetrics{
+	m := &syncMetrics{
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "store_item_bytes_total",
 			Help: "Values of the store's items that arrived, by way and by whether they held anything new.",
@@ -48,17 +48,17 @@
 	return m
 }
 
-// arrived counts a delta and which of its items changed something.
-func (m *copyMetrics) arrived(prefix string, from origin, d mirror.Delta, changed []mirror.Item) {
+// countItems counts the items of a delta, and apart those that changed something.
+func (m *syncMetrics) countItems(prefix string, from origin, d mirror.Delta, changed []mirror.Item) {
 	if len(d.Items) == 0 {
 		return
 	}
 	taken := itemBytes(changed)
-	m.bytes.WithLabelValues(prefix, from.way, itemsTaken).Add(float64(taken))
-	m.bytes.WithLabelValues(prefix, from.way, itemsKnown).Add(float64(max(0, itemBytes(d.Items)-taken)))
+	m.bytes.WithLabelValues(prefix, from.source, itemsNew).Add(float64(taken))
+	m.bytes.WithLabelValues(prefix, from.source, itemsRedundant).Add(float64(max(0, itemBytes(d.Items)-taken)))
 }
 
-func (m *copyMetrics) fail(way string) { m.failed.WithLabelValues(way).Inc() }
+func (m *syncMetrics) countFailure(source string) { m.failed.WithLabelValues(source).Inc() }
 
 func itemBytes(items []mirror.Item) int {
 	size := 0
@@ -68,7 +68,8 @@
 	return size
 }
 
-// registerVersions adds the series of what is in force here.
+// registerVersions adds the series on the configuration and the revisions in force on this
+// instance.
 func (n *Instance) registerVersions() {
 	const namespace = "basilroute"
 	n.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -79,7 +80,7 @@
 		}
 		return 0
 	}))
-	for _, f := range n.followers {
+	for _, f := range n.syncs {
 		n.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "store_revision", Help: "Revision of the store up to which every change is known.",
 			ConstLabels: prometheus.Labels{"prefix": f.prefix},
--- a/instance/routed/metrics_test.go
+++ b/instance/routed/metrics_test.go
@@ -12,22 +12,22 @@
 	"github.com/basilroute/basilroute/state/mirror"
 )
 
-// Copies that bring nothing new show apart from those that do.
+// Copies that bring nothing new are counted apart from those that do.
 func TestRedundantCopiesAreCounted(t *testing.T) {
-	m := newCopyMetrics(prometheus.NewRegistry())
-	copied, from := mirror.New(), origin{way: wayExchange, peer: "front-2"}
+	m := newSyncMetrics(prometheus.NewRegistry())
+	copied, from := mirror.New(), origin{source: sourceExchange, peer: "front-2"}
 	d := mirror.Delta{Revision: 3, Full: true, Items: []mirror.Item{{Key: "config/current", Value: make([]byte, 100), Revision: 3}}}
 	for range 3 {
-		m.arrived("config/", from, d, copied.Apply(d))
+		m.countItems("config/", from, d, copied.Apply(d))
 	}
-	for result, want := range map[string]float64{itemsTaken: 100, itemsKnown: 200} {
-		if got := testutil.ToFloat64(m.bytes.WithLabelValues("config/", wayExchange, result)); got != want {
+	for result, want := range map[string]float64{itemsNew: 100, itemsRedundant: 200} {
+		if got := testutil.ToFloat64(m.bytes.WithLabelValues("config/", sourceExchange, result)); got != want {
 			t.Errorf("%s: %v bytes, want %v", result, got, want)
 		}
 	}
 }
 
-// An instance whose metrics address is taken serves its callers all the same.
+// An instance whose metrics address is in use still serves its callers.
 func TestTakenMetricsAddressStopsNothing(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	n.Kill()
 }
 
-// emptySource is a store in which nothing stands.
+// emptySource is the source of an empty store.
 type emptySource struct{ Source }
 
 func (emptySource) ConfigPrefix() string  { return "config/" }
--- a/instance/routed/quota.go
+++ b/instance/routed/quota.go
@@ -9,20 +9,20 @@
 	"github.com/basilroute/basilroute/transport/peer"
 )
 
-// member names this incarnation.
+// member identifies this incarnation.
 func (n *Instance) member() slots.Member {
 	self := n.members.Self()
 	return slots.Member{ID: self.GetId(), Incarnation: self.GetIncarnation()}
 }
 
-// forever is until when a part is held: nobody else ever mints it.
-const forever = 365 * 24 * time.Hour
+// heldForever is the validity of a held share: no other instance ever mints it.
+const heldForever = 365 * 24 * time.Hour
 
-// updateHeld tells the ledger whether this instance mints its part.
-func (n *Instance) updateHeld(now time.Time) {
+// updateHeldShare sets in the ledger whether this instance mints its share.
+func (n *Instance) updateHeldShare(now time.Time) {
 	var held []slots.HeldSlot
 	if n.shares.Mints() {
-		held = []slots.HeldSlot{{Slot: 0, Epoch: n.epoch(), Until: now.Add(forever)}}
+		held = []slots.HeldSlot{{Slot: 0, Epoch: n.epoch(), Until: now.Add(heldForever)}}
 	}
 	n.ledger.SetProvisional(!n.shares.Cleared(), now)
 	n.ledger.SetHeldSlots(held, now)
@@ -32,18 +32,18 @@
 	}
 }
 
-// Epochs in which a part is held: the ledger mints in the first one at once, and in a later one
-// when the loans of former holders have expired.
+// Epochs in which a share is held: the ledger mints at once in the first one, and in a
+// later one when the loans of former holders have expired.
 const (
-	epochOfOwn      = 1
-	epochOfNewcomer = 2 // others may have lent what is its part now
+	epochImmediate  = 1
+	epochAfterLoans = 2 // other instances may have lent tokens of what is its share now
 )
 
 func (n *Instance) epoch() uint64 {
 	if n.shares.NoEarlierMint() {
-		return epochOfNewcomer
+		return epochAfterLoans
 	}
-	return epochOfOwn
+	return epochImmediate
 }
 
 // lenders returns the reachable instances that mint, the nearest first.
@@ -76,7 +76,7 @@
 	return peer.EncodeGrants(self, n.ledger.Lend(wants, reports, time.Now()))
 }
 
-// Promise implements peer.Quota: parts of the quota change no hands here.
+// Promise implements peer.Quota: shares are never transferred between these instances.
 func (n *Instance) Promise(*peerpb.PromiseRequest) *peerpb.PromiseResponse {
 	return &peerpb.PromiseResponse{}
 }
--- a/instance/routed/quota_test.go
+++ b/instance/routed/quota_test.go
@@ -10,42 +10,44 @@
 	"github.com/basilroute/basilroute/coordination/quotashare"
 )
 
-// Guards against a newcomer that mints beside loans which others made of what is its part now.
+// Guards against a joining instance that mints while loans are valid that others made from
+// what is its share now.
 func TestNewcomerMintsWhenLoansOfItsPartHaveExpired(t *testing.T) {
 	for minted, want := range map[bool]int{false: 0, true: 1} {
-		n := newQuotaNode()
+		n := newQuotaInstance()
 		if minted {
 			n.shares.RecordMinted()
 		}
 		n.shares.Merge([]quotashare.Holder{{ID: n.settings.ID, Domain: n.settings.Domain}}, true)
 		now := time.Now()
-		n.updateHeld(now)
+		n.updateHeldShare(now)
 		if got := n.ledger.MintingSlots(now); got != want {
-			t.Errorf("minted before: %v, mints %d parts, want %d", minted, got, want)
+			t.Errorf("minted before: %v, mints %d shares, want %d", minted, got, want)
 		}
 		if got := n.ledger.MintingSlots(quota.LoanExpiry(now)); got != 1 {
-			t.Errorf("minted before: %v, mints %d parts once loans have expired", minted, got)
+			t.Errorf("minted before: %v, mints %d shares once loans have expired", minted, got)
 		}
 	}
 }
 
-// Guards against a fleet's first start in which each instance asks all others for loans that nobody can hold.
+// Guards against the first start of a fleet in which each instance queries all others for
+// loans that none of them can hold.
 func TestFirstStartAsksNobodyForLoans(t *testing.T) {
-	n := newQuotaNode()
-	if _, err := n.enter(context.Background()); err != nil {
+	n := newQuotaInstance()
+	if _, err := n.register(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if !n.shares.Cleared() || len(n.shares.Unconfirmed()) > 0 {
-		t.Errorf("cleared: %v, to be asked: %v", n.shares.Cleared(), n.shares.Unconfirmed())
+		t.Errorf("cleared: %v, to be queried: %v", n.shares.Cleared(), n.shares.Unconfirmed())
 	}
-	n.updateHeld(time.Now())
+	n.updateHeldShare(time.Now())
 	if got := n.ledger.MintingSlots(time.Now()); got != 0 {
-		t.Errorf("mints %d parts at once, beside what a predecessor may have lent whose word to the store was lost", got)
+		t.Errorf("mints %d shares at once, although a predecessor whose record in the store was lost may have lent tokens", got)
 	}
 }
 
-func newQuotaNode() *Instance {
+func newQuotaInstance() *Instance {
 	settings := DefaultSettings()
 	settings.ID, settings.Domain = "front-0", "east-a"
-	return newNode(settings, bulkSource{client: &bulkClient{store: newBulkStore()}}, nil, slog.New(slog.DiscardHandler))
+	return newInstance(settings, testSource{client: &memoryClient{store: newMemoryStore()}}, nil, slog.New(slog.DiscardHandler))
 }
--- a/instance/routed/views.go
+++ b/instance/routed/remotes.go
@@ -13,34 +13,35 @@
 	"github.com/basilroute/basilroute/transport/httproute"
 )
 
-// lastKnownFor is how long an instance that reaches no other names those it knew: then
-// they may be gone.
-const lastKnownFor = 8 * time.Second
+// lastKnownTTL is how long an instance that reaches no other one lists those that it last
+// knew: after that they may be gone.
+const lastKnownTTL = 8 * time.Second
 
-// isolated tells whether this instance reaches none of those it heard just now.
+// isolated reports whether this instance reaches none of the instances that it had contact
+// with within lastKnownTTL.
 func (n *Instance) isolated(now time.Time) bool {
-	if fleet, _ := n.reachable(); fleet != 1 {
+	if fleet, _ := n.reachableCounts(); fleet != 1 {
 		return false
 	}
 	return slices.ContainsFunc(n.members.Members(now), func(m membership.Member) bool {
-		return m.Entry.GetId() != n.settings.ID && !m.Leaving() && now.Sub(m.LastContact) < lastKnownFor
+		return m.Entry.GetId() != n.settings.ID && !m.Leaving() && now.Sub(m.LastContact) < lastKnownTTL
 	})
 }
 
-// noGenerations refuses what instances of the other interface forward.
-type noGenerations struct{}
+// generationRefuser refuses generations that instances of package instance forward.
+type generationRefuser struct{}
 
 // RunForwarded implements peer.Runner.
-func (noGenerations) RunForwarded(context.Context, *dispatch.Work, dispatch.Sink) error {
+func (generationRefuser) RunForwarded(context.Context, *dispatch.Work, dispatch.Sink) error {
 	return refusal.New(refusal.CodeNotFound, "this instance serves HTTP routes")
 }
 
 // CancelForwarded implements peer.Runner.
-func (noGenerations) CancelForwarded(string, string, string) {}
+func (generationRefuser) CancelForwarded(string, string, string) {}
 
-// Remotes implements httproute.Remotes: one reachable instance of each other region,
-// drawn at random so that the calls spread, with the latest word of any instance there:
-// each speaks for the servers of its whole region.
+// Remotes implements httproute.Remotes. It returns one reachable instance of each other
+// region, drawn at random to spread the calls, with the latest load report of any instance
+// of that region: each report covers the servers of its whole region.
 func (n *Instance) Remotes(service string) []httproute.Remote {
 	byRegion := make(map[string][]membership.Member)
 	latest := make(map[string]membership.Member)
@@ -56,15 +57,15 @@
 	}
 	out := make([]httproute.Remote, 0, len(byRegion))
 	for region, members := range byRegion {
-		if sound := slices.DeleteFunc(slices.Clone(members), n.unreachedJustNow); len(sound) > 0 {
-			members = sound
+		if reachable := slices.DeleteFunc(slices.Clone(members), n.recentlyUnreachable); len(reachable) > 0 {
+			members = reachable
 		}
-		m, word := members[rand.IntN(len(members))], latest[region]
+		m, report := members[rand.IntN(len(members))], latest[region]
 		remote := httproute.Remote{
 			Region: region, Instance: m.Entry.GetId(), Address: m.Entry.GetRelayAddress(),
-			RoundTrip: 2 * n.settings.Bounds.RegionDelay, ReportedAt: word.LoadsReceivedAt,
+			RoundTrip: 2 * n.settings.Bounds.RegionDelay, ReportedAt: report.LoadsReceivedAt,
 		}
-		for _, load := range word.Loads {
+		for _, load := range report.Loads {
 			if load.GetService() == service {
 				remote.Servers = int(load.GetServers())
 				remote.Running, remote.FreeSlots = int(load.GetInFlight()), int(load.GetRoom())
@@ -77,44 +78,45 @@
 	return out
 }
 
-// avoidFor is how long an instance that could not be reached is passed over for others
-// of its region: until the members know better.
-const avoidFor = 2 * time.Second
+// unreachableTTL is how long an instance that could not be reached is avoided in favour of
+// others of its region: until the membership table reflects the failure.
+const unreachableTTL = 2 * time.Second
 
 // MarkUnreachable implements httproute.Remotes.
-func (n *Instance) MarkUnreachable(instance string) { n.avoided.Store(instance, n.uptime()) }
+func (n *Instance) MarkUnreachable(instance string) { n.unreachableAt.Store(instance, n.uptime()) }
 
-func (n *Instance) unreachedJustNow(m membership.Member) bool {
-	at, ok := n.avoided.Load(m.Entry.GetId())
+func (n *Instance) recentlyUnreachable(m membership.Member) bool {
+	at, ok := n.unreachableAt.Load(m.Entry.GetId())
 	if !ok {
 		return false
 	}
-	failed, _ := at.(time.Duration)
-	return n.uptime()-failed < avoidFor
+	failedAt, _ := at.(time.Duration)
+	return n.uptime()-failedAt < unreachableTTL
 }
 
-// DirectoryQuery is what a caller asks the directory.
+// DirectoryQuery is what a caller sends to the directory.
 type DirectoryQuery struct {
 	Host           string
 	Region, Domain string // the caller's; may be empty
 }
 
-// DirectoryAnswer is the directory's.
+// DirectoryAnswer is the directory's response.
 type DirectoryAnswer struct {
 	Addresses []string
 	TTL       time.Duration
 }
 
-// maxNamed bounds the instances that an answer names: more than a caller tries.
-const maxNamed = 16
+// maxDirectoryAddresses bounds the instances that a response lists: it is more than a
+// caller tries.
+const maxDirectoryAddresses = 16
 
-// directoryTTL is how long an answer counts, within what the deployment allows: short
-// enough that a stopping instance is forgotten while it still serves.
+// directoryTTL is how long a response is valid, within what the deployment allows: short
+// enough that callers drop a stopping instance while it still serves.
 const directoryTTL = 2 * time.Second
 
-// Resolve answers a caller that asks where to connect, see directory.Choose. An
-// instance that reaches no other one names the others, as it last knew them, and not
-// itself: callers may reach them, and it has only its own part of the quotas.
+// Resolve tells a caller where to connect, see directory.Choose. An instance that reaches
+// no other one lists the others, as it last knew them, and not itself: callers may still
+// reach them, and it has only its own share of the quotas.
 func (n *Instance) Resolve(q DirectoryQuery) DirectoryAnswer {
 	region := q.Region
 	if region == "" {
@@ -130,7 +132,7 @@
 	for _, m := range n.members.Members(now) {
 		usable := m.Reachable
 		if isolated {
-			usable = !m.Reachable && now.Sub(m.LastContact) < lastKnownFor
+			usable = !m.Reachable && now.Sub(m.LastContact) < lastKnownTTL
 		}
 		if usable {
 			known = append(known, directory.Instance{
@@ -138,7 +140,7 @@
 			})
 		}
 	}
-	named := directory.Choose(known, region, homes)
-	rand.Shuffle(len(named), func(a, b int) { named[a], named[b] = named[b], named[a] })
-	return DirectoryAnswer{Addresses: named[:min(len(named), maxNamed)], TTL: min(directoryTTL, n.settings.Bounds.DirectoryTTL)}
+	addresses := directory.Choose(known, region, homes)
+	rand.Shuffle(len(addresses), func(a, b int) { addresses[a], addresses[b] = addresses[b], addresses[a] })
+	return DirectoryAnswer{Addresses: addresses[:min(len(addresses), maxDirectoryAddresses)], TTL: min(directoryTTL, n.settings.Bounds.DirectoryTTL)}
 }
--- a/instance/routed/settings.go
+++ b/instance/routed/settings.go
@@ -2,8 +2,8 @@
 // is one versioned document in the store, its backend servers register themselves
 // there, and it finds the other instances there.
 //
-// The names and formats of a deployment stay outside: a Source reads the store's
-// items, a Codec the headers.
+// The names and formats of a deployment are kept out of this package: a Source decodes
+// the store's items, a Codec the headers.
 package routed
 
 import (
@@ -17,21 +17,21 @@
 	"github.com/basilroute/basilroute/yamldoc"
 )
 
-// Settings are read once at the start.
+// Settings are the static settings of an instance, read once at its start.
 type Settings struct {
 	ID       string            `yaml:"id"`
 	Region   string            `yaml:"region"`
 	Domain   string            `yaml:"domain"`
 	Domains  map[string]string `yaml:"domains"` // region of each failure domain
 	Listen   Listen            `yaml:"listen"`
-	Seeds    []string          `yaml:"seeds"` // peer addresses to try besides the members in the store
+	Seeds    []string          `yaml:"seeds"` // peer addresses to try in addition to the members in the store
 	Store    Store             `yaml:"store"`
 	MemoryMB int64             `yaml:"memory_mb"` // that the process may use, in MiB
-	LinkMbps float64           `yaml:"link_mbps"` // rate of the machine's link; 0 when not known
+	LinkMbps float64           `yaml:"link_mbps"` // rate of the machine's network link; 0 if unknown
 	Bounds   Bounds            `yaml:"bounds"`
 	Retry    Retry             `yaml:"retry"`
 	Log      Log               `yaml:"log"`
-	// Features switches mechanisms of decision off by name; those that are not named are on.
+	// Features switches decision mechanisms off by name; those that are not named are on.
 	Features map[features.Name]bool `yaml:"features"`
 }
 
@@ -45,33 +45,33 @@
 	Metrics   string `yaml:"metrics"` // metrics and the state dump; none when empty
 }
 
-// Store says where the store is and what it takes.
+// Store locates the store and sets the limits of calls to it.
 type Store struct {
 	Address     string        `yaml:"address"`
-	CallTimeout time.Duration `yaml:"call_timeout"` // without a byte of an answer, beside a watch's wait
-	MinLease    time.Duration `yaml:"least_lease"`  // shortest lease that it grants
+	CallTimeout time.Duration `yaml:"call_timeout"` // max time without a byte of the response, in addition to a watch's wait
+	MinLease    time.Duration `yaml:"least_lease"`  // shortest lease that the store grants
 }
 
 // Bounds are the times that the deployment sets.
 type Bounds struct {
 	Grace        time.Duration `yaml:"grace"`         // from SIGTERM to the kill
-	DirectoryTTL time.Duration `yaml:"directory_ttl"` // longest time that an answer of the directory counts
-	RegionDelay  time.Duration `yaml:"region_delay"`  // one way between regions
+	DirectoryTTL time.Duration `yaml:"directory_ttl"` // longest validity of a directory response
+	RegionDelay  time.Duration `yaml:"region_delay"`  // one-way delay between regions
 }
 
-// Retry bounds repeats over the fleet, for each service.
+// Retry bounds retries over the whole fleet, for each service.
 type Retry struct {
 	Ratio  float64       `yaml:"ratio"`
 	Slack  float64       `yaml:"slack"`
 	Window time.Duration `yaml:"window"`
 }
 
-// Log sets the log.
+// Log configures logging.
 type Log struct {
 	Level string `yaml:"level"` // debug, info, warn or error
 }
 
-// DefaultSettings are the settings before the file is read.
+// DefaultSettings returns the defaults that a settings file overrides.
 func DefaultSettings() Settings {
 	return Settings{
 		Store:    Store{CallTimeout: 1500 * time.Millisecond, MinLease: time.Second},
@@ -82,7 +82,7 @@
 	}
 }
 
-// ParseSettings decodes and checks settings. The error is yamldoc.Findings.
+// ParseSettings decodes and checks settings. The error is of type yamldoc.Findings.
 func ParseSettings(file string, data []byte) (Settings, error) {
 	s := DefaultSettings()
 	r := yamldoc.Decode(file, data, &s)
@@ -125,7 +125,7 @@
 		}
 	}
 	if s.Domains[s.Domain] != s.Region {
-		r.Addf("domains", "want the region %q for the own failure domain %q, have %q", s.Region, s.Domain, s.Domains[s.Domain])
+		r.Addf("domains", "want the region %q for the local failure domain %q, have %q", s.Region, s.Domain, s.Domains[s.Domain])
 	}
 	return s, r.Err()
 }
--- a/instance/routed/settings_test.go
+++ b/instance/routed/settings_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Everything wrong with a file is reported together, each with its place.
+// All errors in a file are reported together, each with its position.
 func TestSettingsFindingsComeTogether(t *testing.T) {
 	bad := strings.NewReplacer("id: front-1", `id: ""`, "192.0.2.1:5", "somewhere", "192.0.2.2:4", "192.0.2.2",
 		"grace: 8s", "grace: 0s", "ratio: 0.2", "ratio: -1", "link_mbps: 10.0", "link_mbps: -1", `"suva-a": "viti-levu"`, `"suva-a": "lau-east"`).Replace(goodSettings) + "nonsense: 1\n"
@@ -46,13 +46,13 @@
 	}
 	for _, f := range findings {
 		if f.Line == 0 {
-			t.Errorf("without a place: %s", f)
+			t.Errorf("without a position: %s", f)
 		}
 	}
 }
 
-// An operator misspells a feature that is to be switched off. Taken as it stands the
-// misbehaving mechanism would go on; it is a finding with its place and the names there are.
+// A misspelled feature name in the settings would leave the mechanism on that an operator
+// wants to switch off. It is reported as a finding with its position and the known names.
 func TestUnknownFeatureIsAFinding(t *testing.T) {
 	_, err := ParseSettings("x.yaml", []byte(goodSettings+"features: {fetch: false, fetches: false}\n"))
 	var findings yamldoc.Findings
--- a/instance/routed/source.go
+++ b/instance/routed/source.go
@@ -6,17 +6,18 @@
 	"github.com/basilroute/basilroute/transport/platform"
 )
 
-// Source reads what operators and backend servers write to the store. It decides
-// nothing.
+// Source decodes what operators and backend servers write to the store. It makes no
+// decisions.
 type Source interface {
-	// Store is the store's client.
+	// Store returns the store's client.
 	Store() platform.Store
-	// ConfigPrefix and ServersPrefix are where the items stand.
+	// ConfigPrefix and ServersPrefix return the key prefixes of the items.
 	ConfigPrefix() string
 	ServersPrefix() string
-	// Config decodes the configuration; ok is false for an item that is none.
+	// Config decodes the configuration; ok is false for an item that is not a
+	// configuration.
 	Config(key string, value []byte) (config *routes.Config, ok bool, err error)
-	// Evacuation returns the failure domain that an item asks to send nothing to.
+	// Evacuation returns the failure domain that an item asks to evacuate.
 	Evacuation(key string) (domain string, ok bool)
 	// Server decodes the entry of a backend server.
 	Server(key string, value []byte) (backends.Server, error)
--- a/instance/routed/stop.go
+++ b/instance/routed/stop.go
@@ -14,20 +14,21 @@
 	"github.com/basilroute/basilroute/service/features"
 )
 
-// A planned stop goes in stages within the grace that the deployment gives. The
-// instance says that it leaves and goes on serving callers whose directory answer is
-// old, but takes no stream that might outlast it; then it takes nothing; then it ends,
-// at the latest a little before it would be killed.
+// A graceful shutdown has three stages within the grace period that the deployment gives.
+// First the instance announces that it is leaving and still serves callers whose directory
+// response is old, but accepts no stream that might outlast it; then it accepts no
+// requests; then it ends, shortly before it would be killed.
 const (
-	// servePart is the part of the grace in which new requests are taken.
-	servePart = 0.6
-	// endMargin is how long before the end of the grace the process ends.
-	endMargin = 400 * time.Millisecond
-	drainPoll = 20 * time.Millisecond
+	// serveFraction is the fraction of the grace period in which new requests are accepted.
+	serveFraction = 0.6
+	// exitMargin is how long before the end of the grace period the process ends.
+	exitMargin        = 400 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// remaining is how long this instance still runs, once it leaves; 0 before.
-func (n *Instance) remaining() time.Duration {
+// timeToShutdown returns how long this instance still runs once it is leaving, and 0
+// before.
+func (n *Instance) timeToShutdown() time.Duration {
 	ends := n.endsAt.Load()
 	if ends == 0 {
 		return 0
@@ -35,21 +36,22 @@
 	return max(time.Duration(ends)-time.Since(n.started), 1)
 }
 
-// Stop is the planned stop. It returns an error when requests were cut.
+// Stop shuts the instance down gracefully. It returns an error if requests in flight were
+// cut off at the end of the grace period.
 func (n *Instance) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, n.settings.Bounds.Grace-endMargin)
+	ctx, cancel := context.WithTimeout(ctx, n.settings.Bounds.Grace-exitMargin)
 	defer cancel()
 	began := time.Now()
-	n.endsAt.Store(int64(time.Since(n.started) + n.settings.Bounds.Grace - endMargin))
+	n.endsAt.Store(int64(time.Since(n.started) + n.settings.Bounds.Grace - exitMargin))
 	n.leaving.Store(true)
 	n.members.UpdateSelf(began, func(m *peerpb.Member) { m.State = peerpb.MemberState_MEMBER_STATE_LEAVING })
-	n.spread()
+	n.triggerExchange()
 	n.log.Info("stopping", "grace_ms", n.settings.Bounds.Grace.Milliseconds())
-	pause(ctx, time.Duration(servePart*float64(n.settings.Bounds.Grace)))
+	sleep(ctx, time.Duration(serveFraction*float64(n.settings.Bounds.Grace)))
 	n.stopping.Store(true)
 	err := n.callers.Shutdown(ctx)
 	for n.inFlight.Load() > 0 && ctx.Err() == nil {
-		pause(ctx, drainPoll)
+		sleep(ctx, drainPollInterval)
 	}
 	n.lending.ReturnAll(ctx)
 	n.log.Info("stopped", "took_ms", time.Since(began).Milliseconds(), "cut", err != nil)
@@ -57,11 +59,11 @@
 	return err
 }
 
-// Kill ends the instance at once.
+// Kill ends the instance at once, without waiting for requests in flight.
 func (n *Instance) Kill() {
 	n.stopLoops()
 	_ = n.callers.Close() // the process ends
-	for _, s := range n.servicing {
+	for _, s := range n.handlerServers {
 		_ = s.Close() // as above
 	}
 	n.peers.Stop()
@@ -84,12 +86,13 @@
 	return mux
 }
 
-// Dump is the state of the instance, for operators. It holds no key and no body.
+// Dump is the state of the instance, for operators. It contains no keys and no request
+// bodies.
 type Dump struct {
 	ID            string
 	Ready         bool
 	ConfigVersion int64
-	Revisions     map[string]int64 // known of the store, by prefix
+	Revisions     map[string]int64 // known revision of the store, by prefix
 	Members       map[string]string
 	Servers       map[string][]placement.State // by service
 	Evacuated     []string
@@ -98,7 +101,7 @@
 	FeaturesOff   []features.Name
 }
 
-// Dump returns the state.
+// Dump returns the instance's state.
 func (n *Instance) Dump() Dump {
 	now := time.Now()
 	d := Dump{
@@ -106,7 +109,7 @@
 		Servers: make(map[string][]placement.State), Evacuated: n.backends.Evacuated(),
 		QuotaHolders: n.shares.Holders(), QuotaMints: n.shares.Mints(), FeaturesOff: n.features.Off(),
 	}
-	for _, f := range n.followers {
+	for _, f := range n.syncs {
 		d.Revisions[f.prefix] = f.mirror.Revision()
 	}
 	for _, m := range n.members.Members(now) {
--- a/instance/routed/facts.go
+++ b/instance/routed/storeitems.go
@@ -12,9 +12,9 @@
 	"github.com/basilroute/basilroute/state/routes"
 )
 
-// configChanged takes in the operators' items. Changes are applied in the order of
-// the store's revisions; the table keeps out what is older than what is in force.
-func (n *Instance) configChanged(changed []mirror.Item) {
+// applyConfigItems applies the items that operators write. Changes are applied in the order
+// of the store's revisions; the table rejects any that is older than what is in force.
+func (n *Instance) applyConfigItems(changed []mirror.Item) {
 	evacuations := false
 	for _, item := range changed {
 		if _, ok := n.source.Evacuation(item.Key); ok {
@@ -22,33 +22,33 @@
 			continue
 		}
 		if item.Removed {
-			continue // an operator replaces the configuration and never takes it away
+			continue // an operator replaces the configuration and never deletes it
 		}
-		n.offer(item)
+		n.offerConfig(item)
 	}
 	if evacuations {
-		n.evacuate()
+		n.updateEvacuations()
 	}
 }
 
-func (n *Instance) offer(item mirror.Item) {
+func (n *Instance) offerConfig(item mirror.Item) {
 	config, ok, err := n.source.Config(item.Key, item.Value)
 	if err != nil {
 		n.unreadable.Inc()
 		n.log.Error("config_unreadable", "key", item.Key, "revision", item.Revision, "error", err.Error())
-		return // the last one stays in force
+		return // the last configuration stays in force
 	}
 	if !ok || !n.routes.Offer(config) {
 		return
 	}
 	n.log.Info("config_in_force", "version", config.Version, "revision", item.Revision, "routes", len(config.Routes),
 		"services", len(config.Services), "accounts", len(config.Accounts), "keys", len(config.Keys))
-	n.updateAccounts(config)
+	n.updateLedger(config)
 	n.refreshPools(time.Now())
 }
 
-// evacuate takes in which failure domains are to get nothing.
-func (n *Instance) evacuate() {
+// updateEvacuations updates the set of failure domains that are to get no requests.
+func (n *Instance) updateEvacuations() {
 	var domains []string
 	for _, item := range n.config.mirror.Items() {
 		if domain, ok := n.source.Evacuation(item.Key); ok {
@@ -56,12 +56,12 @@
 		}
 	}
 	now := time.Now()
-	n.backends.SetEvacuated(domains, n.longestColdStart(), now)
+	n.backends.SetEvacuated(domains, n.maxColdStart(), now)
 	n.log.Info("evacuations", "domains", domains)
 	n.refreshPools(now)
 }
 
-func (n *Instance) longestColdStart() time.Duration {
+func (n *Instance) maxColdStart() time.Duration {
 	longest := time.Duration(0)
 	if config := n.routes.Current(); config != nil {
 		for _, s := range config.Services {
@@ -71,9 +71,9 @@
 	return longest
 }
 
-// serversChanged takes in the entries of backend servers. One that cannot be read
-// names no server.
-func (n *Instance) serversChanged(changed []mirror.Item) {
+// applyServerItems applies the entries of backend servers. A server whose entry cannot be
+// decoded is removed.
+func (n *Instance) applyServerItems(changed []mirror.Item) {
 	now := time.Now()
 	for _, item := range changed {
 		if item.Removed {
@@ -96,7 +96,8 @@
 	n.refreshPools(now)
 }
 
-// refreshPools hands the servers of the own region to the pools.
+// refreshPools updates the pools with the known backend servers, those of the local region
+// and those of others.
 func (n *Instance) refreshPools(now time.Time) {
 	config := n.routes.Current()
 	if config == nil {
@@ -109,7 +110,7 @@
 		byRegion[region] = n.backends.InRegion(region, now)
 	}
 	for _, svc := range config.Services {
-		settings := placement.Settings{ColdRate: svc.ColdRate, OwnsColdServer: n.ownsCold, Features: n.features}
+		settings := placement.Settings{ColdRate: svc.ColdRate, OwnsColdServer: n.ownsColdServer, Features: n.features}
 		if svc.Engine != nil {
 			settings.Engine, settings.Slots, settings.CacheTokens = true, svc.Engine.Slots, svc.Engine.CacheTokens
 			if svc.Engine.LinkRate > 0 {
@@ -119,14 +120,14 @@
 		pool := n.local.Pool(svc.Name)
 		for region, entries := range byRegion {
 			if region != n.settings.Region && svc.Engine != nil {
-				pool.UpdateRemote(region, ofService(entries, svc.Name))
+				pool.UpdateRemote(region, filterService(entries, svc.Name))
 			}
 		}
-		pool.Update(settings, ofService(byRegion[n.settings.Region], svc.Name))
+		pool.Update(settings, filterService(byRegion[n.settings.Region], svc.Name))
 	}
 }
 
-func ofService(entries []backends.Entry, service string) []backends.Entry {
+func filterService(entries []backends.Entry, service string) []backends.Entry {
 	out := entries[:0:0]
 	for _, e := range entries {
 		if e.Service == service {
@@ -136,24 +137,25 @@
 	return out
 }
 
-// ownsCold tells whether this instance is the one of its region that sends work to a
-// cold server. The server's rate holds over all instances; one sender keeps it
-// without a word between them, and two that do not see each other stay below the
-// bound, which is more than twice the rate. One that has just started sees only itself:
-// when a whole region starts each of its instances would send, and the server would crash.
-func (n *Instance) ownsCold(server string) bool {
-	if n.uptime() < startTime {
+// ownsColdServer reports whether this instance is the one of its region that sends requests
+// to a cold server. The server's rate limit applies to all instances together; a single
+// sender keeps it without coordination, and two that do not see each other stay below the
+// server's bound, which is more than twice the rate. An instance that has just started sees
+// only itself: when a whole region starts, each of its instances would send, and the server
+// would crash.
+func (n *Instance) ownsColdServer(server string) bool {
+	if n.uptime() < startupPeriod {
 		return false
 	}
-	members := *n.regional.Load()
+	members := *n.regionMembers.Load()
 	if len(members) == 0 {
 		return true
 	}
 	return rendezvousTop(members, server) == n.settings.ID
 }
 
-// updateAccounts hands the accounts and the instances that share them to the ledger.
-func (n *Instance) updateAccounts(config *routes.Config) {
+// updateLedger passes the accounts and the instances that share them to the ledger.
+func (n *Instance) updateLedger(config *routes.Config) {
 	n.ledgerMu.Lock()
 	defer n.ledgerMu.Unlock()
 	holders := n.shares.Holders()
@@ -174,7 +176,7 @@
 	n.ledger.UpdateDivided(docs, n.division, int64(n.ledgerHolders), time.Now())
 }
 
-// publishLoads tells the other instances how the services stand here.
+// publishLoads publishes the load of the services in this instance's entry.
 func (n *Instance) publishLoads(now time.Time) {
 	config := n.routes.Current()
 	if config == nil {
@@ -189,15 +191,15 @@
 			SlowedPercent: uint32(100 * s.StallFraction),
 		})
 	}
-	away := n.storeAway()
+	unreachable := n.storeUnreachable()
 	n.members.UpdateSelf(now, func(m *peerpb.Member) {
-		m.Loads, m.ConfigRevision, m.StoreUnreachable = loads, config.Version, away
+		m.Loads, m.ConfigRevision, m.StoreUnreachable = loads, config.Version, unreachable
 		m.QuotaHash, m.QuotaAgreed = n.shares.Hash(), n.shares.AgreementHash()
 	})
 }
 
-// digest sums up what the other instances of the region are to know of the load.
-func (n *Instance) digest() placement.LoadReport {
+// loadReport returns this instance's load for the other instances of the region.
+func (n *Instance) loadReport() placement.LoadReport {
 	var all placement.LoadReport
 	if config := n.routes.Current(); config != nil {
 		for name := range config.Services {
@@ -209,8 +211,9 @@
 	return all
 }
 
-// absorb takes in another instance's word. Each pool takes what it knows the servers of.
-func (n *Instance) absorb(from string, d *placement.LoadReport, now time.Time) {
+// applyLoadReport applies another instance's load report. Each pool takes from it the
+// servers that it knows.
+func (n *Instance) applyLoadReport(from string, d *placement.LoadReport, now time.Time) {
 	if config := n.routes.Current(); config != nil {
 		for name := range config.Services {
 			n.local.Pool(name).ApplyReport(from, d, now)
--- a/instance/routed/bulkfleet_test.go
+++ b/instance/routed/testfleet_test.go
@@ -22,23 +22,24 @@
 	"github.com/basilroute/basilroute/transport/platform"
 )
 
-// fleetStart is until all instances know each other and their parts of the quotas.
-const fleetStart = 6 * time.Second
+// fleetStartTime is how long it takes until all instances know each other and their shares
+// of the quotas.
+const fleetStartTime = 6 * time.Second
 
-// bulkStore is a store in memory that answers at once, or turns callers away.
-type bulkStore struct {
+// memoryStore is a store in memory that responds at once, or rejects callers.
+type memoryStore struct {
 	mu       sync.Mutex
 	revision int64
 	items    map[string]platform.KeyValue
-	changed  chan struct{} // closed at every change
+	changed  chan struct{} // closed and replaced at every change
 	served   func(id string) bool
 }
 
-func newBulkStore() *bulkStore {
-	return &bulkStore{items: make(map[string]platform.KeyValue), changed: make(chan struct{}), served: func(string) bool { return true }}
+func newMemoryStore() *memoryStore {
+	return &memoryStore{items: make(map[string]platform.KeyValue), changed: make(chan struct{}), served: func(string) bool { return true }}
 }
 
-func (s *bulkStore) set(key string, value []byte) {
+func (s *memoryStore) set(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -47,19 +48,19 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *bulkStore) serveOnly(served func(id string) bool) {
+func (s *memoryStore) serveOnly(served func(id string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served = served
 }
 
-// after returns what changed under a prefix after a revision, the store's revision, and
-// what is closed at the next change.
-func (s *bulkStore) after(id, prefix string, revision int64) ([]platform.KeyValue, int64, chan struct{}, error) {
+// after returns the items that changed under a prefix after a revision, the store's
+// revision, and a channel that is closed at the next change.
+func (s *memoryStore) after(id, prefix string, revision int64) ([]platform.KeyValue, int64, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.served(id) {
-		return nil, 0, nil, errors.New("turned away")
+		return nil, 0, nil, errors.New("rejected")
 	}
 	var out []platform.KeyValue
 	for key, item := range s.items {
@@ -70,19 +71,19 @@
 	return out, s.revision, s.changed, nil
 }
 
-// bulkClient is one instance's way to the store.
-type bulkClient struct {
+// memoryClient is one instance's client of the store.
+type memoryClient struct {
 	platform.Store
-	store *bulkStore
+	store *memoryStore
 	id    string
 }
 
-func (s *bulkClient) List(_ context.Context, prefix string, after int64) ([]platform.KeyValue, int64, error) {
+func (s *memoryClient) List(_ context.Context, prefix string, after int64) ([]platform.KeyValue, int64, error) {
 	items, revision, _, err := s.store.after(s.id, prefix, after)
 	return items, revision, err
 }
 
-func (s *bulkClient) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]platform.KeyValue, int64, error) {
+func (s *memoryClient) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]platform.KeyValue, int64, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -100,52 +101,52 @@
 	}
 }
 
-func (s *bulkClient) Put(_ context.Context, w platform.Write) (int64, error) {
+func (s *memoryClient) Put(_ context.Context, w platform.Write) (int64, error) {
 	s.store.set(w.Key, w.Value)
 	return 0, nil
 }
 
-// bulkSource decodes what stands in the store.
-type bulkSource struct {
-	client   *bulkClient
+// testSource decodes the items of the store.
+type testSource struct {
+	client   *memoryClient
 	accounts map[string]*routes.Account // of every version
 }
 
-func (s bulkSource) Store() platform.Store            { return s.client }
-func (s bulkSource) ConfigPrefix() string             { return "config/" }
-func (s bulkSource) ServersPrefix() string            { return "servers/" }
-func (s bulkSource) Evacuation(string) (string, bool) { return "", false }
-func (s bulkSource) ServerID(key string) string       { return key }
+func (s testSource) Store() platform.Store            { return s.client }
+func (s testSource) ConfigPrefix() string             { return "config/" }
+func (s testSource) ServersPrefix() string            { return "servers/" }
+func (s testSource) Evacuation(string) (string, bool) { return "", false }
+func (s testSource) ServerID(key string) string       { return key }
 
-func (s bulkSource) Server(string, []byte) (backends.Server, error) {
+func (s testSource) Server(string, []byte) (backends.Server, error) {
 	return backends.Server{}, errors.New("no servers here")
 }
 
 // Config reads the version that a value begins with.
-func (s bulkSource) Config(_ string, value []byte) (*routes.Config, bool, error) {
+func (s testSource) Config(_ string, value []byte) (*routes.Config, bool, error) {
 	config := &routes.Config{Accounts: s.accounts}
 	_, err := fmt.Sscanf(string(value[:min(len(value), 20)]), "%d\n", &config.Version)
 	return config, true, err
 }
 
-// bulkFleet is a fleet of instances that talk over links of given rates, in one failure
-// domain unless domains are named.
-type bulkFleet struct {
-	t        testing.TB
-	store    *bulkStore
-	network  *link.Network
-	seeds    []membership.Seed
-	nodes    []*Instance
-	links    []*link.Machine
-	domains  []string          // in which instances stand in turn
-	regions  map[string]string // region of each failure domain
-	accounts map[string]*routes.Account
-	dial     []grpc.DialOption
-}
-
-func newBulkFleet(t testing.TB, instances int) *bulkFleet {
-	f := &bulkFleet{
-		t: t, store: newBulkStore(), network: link.NewNetwork(),
+// testFleet is a fleet of instances that communicate over links of given rates, in one
+// failure domain unless domains are named.
+type testFleet struct {
+	t         testing.TB
+	store     *memoryStore
+	network   *link.Network
+	seeds     []membership.Seed
+	instances []*Instance
+	links     []*link.Machine
+	domains   []string          // assigned to the instances in turn
+	regions   map[string]string // region of each failure domain
+	accounts  map[string]*routes.Account
+	dial      []grpc.DialOption
+}
+
+func newTestFleet(t testing.TB, instances int) *testFleet {
+	f := &testFleet{
+		t: t, store: newMemoryStore(), network: link.NewNetwork(),
 		domains: []string{"east-a"}, regions: map[string]string{"east-a": "east"},
 	}
 	f.store.set("config/current", []byte("1\n"))
@@ -155,10 +156,10 @@
 	return f
 }
 
-// newLoadFleet starts a fleet over three regions with two failure domains each, whose accounts
-// have the rates that its size needs.
-func newLoadFleet(t testing.TB, size int, calls *fleetCalls) *bulkFleet {
-	f := newBulkFleet(t, size)
+// newLoadFleet starts a fleet in three regions with two failure domains each, whose
+// accounts have the rates that its size needs.
+func newLoadFleet(t testing.TB, size int, calls *fleetCalls) *testFleet {
+	f := newTestFleet(t, size)
 	f.accounts = loadConfig(size)
 	f.dial = append(f.dial, grpc.WithUnaryInterceptor(calls.intercept))
 	f.domains, f.regions = nil, make(map[string]string)
@@ -170,56 +171,57 @@
 	}
 	for range size {
 		n := f.add(wideLink)
-		for _, loop := range []func(context.Context){n.followStore, n.lending.Run} {
+		for _, loop := range []func(context.Context){n.runStoreSync, n.lending.Run} {
 			n.loops.Go(func() { loop(n.background) })
 		}
 	}
 	return f
 }
 
-func startBulkFleet(t *testing.T, rates ...float64) *bulkFleet {
-	f := newBulkFleet(t, len(rates))
+func startTestFleet(t *testing.T, rates ...float64) *testFleet {
+	f := newTestFleet(t, len(rates))
 	for _, rate := range rates {
 		n := f.add(rate)
-		n.loops.Go(func() { n.followStore(n.background) })
+		n.loops.Go(func() { n.runStoreSync(n.background) })
 	}
-	time.Sleep(fleetStart)
+	time.Sleep(fleetStartTime)
 	f.wantVersion(1)
 	return f
 }
 
-// add starts an instance that exchanges with the others and does not follow the store yet.
-func (f *bulkFleet) add(rate float64) *Instance {
-	id := fmt.Sprint("front-", len(f.nodes))
+// add starts an instance that exchanges with the others but does not sync with the store
+// yet.
+func (f *testFleet) add(rate float64) *Instance {
+	id := fmt.Sprint("front-", len(f.instances))
 	machine := f.network.Add(id, rate)
 	settings := DefaultSettings()
-	domain := f.domains[len(f.nodes)%len(f.domains)]
+	domain := f.domains[len(f.instances)%len(f.domains)]
 	settings.ID, settings.Region, settings.Domain, settings.Listen.Peers = id, f.regions[domain], domain, id
 	settings.Domains = f.regions
-	source := bulkSource{client: &bulkClient{store: f.store, id: id}, accounts: f.accounts}
-	n := newNode(settings, source, nil, slog.New(slog.DiscardHandler))
+	source := testSource{client: &memoryClient{store: f.store, id: id}, accounts: f.accounts}
+	n := newInstance(settings, source, nil, slog.New(slog.DiscardHandler))
 	n.pool = peer.NewPool(insecure.NewCredentials(), append(f.dial, grpc.WithContextDialer(
 		func(ctx context.Context, address string) (net.Conn, error) { return machine.Dial(ctx, address) }))...)
 	n.lending.Pool = n.pool
 	n.members.SetSeeds(f.seeds)
-	f.nodes, f.links = append(f.nodes, n), append(f.links, machine)
+	f.instances, f.links = append(f.instances, n), append(f.links, machine)
 	go func() { _ = n.peers.Serve(machine) }()
-	for _, loop := range []func(context.Context){n.join, n.exchange, n.askSilent, n.housekeep} {
+	for _, loop := range []func(context.Context){n.join, n.exchange, n.queryLoans, n.housekeep} {
 		n.loops.Go(func() { loop(n.background) })
 	}
 	return n
 }
 
-func (f *bulkFleet) stop() {
-	for _, n := range f.nodes {
+func (f *testFleet) stop() {
+	for _, n := range f.instances {
 		n.Kill()
 	}
 }
 
-// behind returns the instances that do not have a version in force.
-func (f *bulkFleet) behind(version int64) []string {
+// behind returns the ids of the instances that do not have the version in force.
+func (f *testFleet) behind(version int64) []string {
 	var out []string
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		if config := n.routes.Current(); config == nil || config.Version != version {
 			out = append(out, n.settings.ID)
 		}
@@ -227,7 +229,7 @@
 	return out
 }
 
-func (f *bulkFleet) wantVersion(version int64) {
+func (f *testFleet) wantVersion(version int64) {
 	f.t.Helper()
 	if behind := f.behind(version); len(behind) > 0 {
 		f.t.Errorf("version %d is not in force at %v", version, behind)
@@ -235,7 +237,7 @@
 }
 
 // sent returns the bytes that all links have carried.
-func (f *bulkFleet) sent() (bytes int64) {
+func (f *testFleet) sent() (bytes int64) {
 	for _, m := range f.links {
 		bytes += m.Sent()
 	}
--- a/instance/routed/watch.go
+++ b/instance/routed/watch.go
@@ -14,51 +14,52 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// A few instances of a region watch the store, at least two of them and one in each
-// failure domain; the others follow one of these over a stream. Each change wakes every
-// watch, so that the calls would otherwise grow with instances times servers. What a
-// watcher misses that is itself cut off comes with the next exchange, see knowledge.
+// A few instances of a region watch the store, at least two of them and one in each failure
+// domain; the others follow one of these over a stream. Each change completes every watch,
+// so that without this the number of calls would grow with instances times servers. What a
+// watcher misses while it is cut off itself comes with the next exchange, see
+// knownRevisions.
 const (
-	// followBeat is how often a watcher says that it is up to date.
-	followBeat = 500 * time.Millisecond
-	// followSilence is how long a watcher may say nothing before another one is
-	// followed, or the store is watched here: well within the times in which changes
+	// followHeartbeat is how often a watcher reports that it is up to date.
+	followHeartbeat = 500 * time.Millisecond
+	// followIdleTimeout is how long a watcher may send nothing before another one is
+	// followed, or this instance watches the store: well within the time in which changes
 	// have to be in force.
-	followSilence = 1200 * time.Millisecond
-	// ownWatch is how long an instance watches the store itself after the watchers
-	// failed it.
-	ownWatch = 5 * time.Second
-	// lostFor is how long a watcher that failed is passed over: until the members know
-	// better.
-	lostFor = 3 * time.Second
-	// roleEvery is how often the roles are looked at.
-	roleEvery = 500 * time.Millisecond
+	followIdleTimeout = 1200 * time.Millisecond
+	// fallbackWatchPeriod is how long an instance watches the store itself after it found
+	// no watcher to follow.
+	fallbackWatchPeriod = 5 * time.Second
+	// failedWatcherTTL is how long a watcher that failed is avoided: until the membership
+	// table reflects the failure.
+	failedWatcherTTL = 3 * time.Second
+	// roleCheckInterval is how often an instance checks whether it is a watcher.
+	roleCheckInterval = 500 * time.Millisecond
 )
 
-// followStore keeps the mirrors up to date, from the store or from a watcher.
-func (n *Instance) followStore(ctx context.Context) {
-	alone := time.Time{}               // until when the store is watched here in any case
-	lost := make(map[string]time.Time) // address of a watcher that failed, until when
+// runStoreSync keeps the mirrors up to date, from the store or from a watcher.
+func (n *Instance) runStoreSync(ctx context.Context) {
+	watchUntil := time.Time{}                    // until when this instance watches the store in any case
+	failedWatchers := make(map[string]time.Time) // until when a watcher that failed is avoided, by address
 	for ctx.Err() == nil {
 		now := time.Now()
-		if n.watches(now) || now.Before(alone) {
-			n.watchStore(ctx, alone)
+		if n.isWatcher(now) || now.Before(watchUntil) {
+			n.watchStore(ctx, watchUntil)
 			continue
 		}
-		maps.DeleteFunc(lost, func(_ string, until time.Time) bool { return !now.Before(until) })
-		peer := n.pickWatcher(now, lost)
+		maps.DeleteFunc(failedWatchers, func(_ string, until time.Time) bool { return !now.Before(until) })
+		peer := n.pickWatcher(now, failedWatchers)
 		if peer == "" {
-			alone = now.Add(ownWatch)
+			watchUntil = now.Add(fallbackWatchPeriod)
 			continue
 		}
-		if !n.followPeer(ctx, peer) {
-			lost[peer] = time.Now().Add(lostFor)
+		if !n.followWatcher(ctx, peer) {
+			failedWatchers[peer] = time.Now().Add(failedWatcherTTL)
 		}
 	}
 }
 
-// watchers returns the watchers of the own region, by failure domain.
-func (n *Instance) watchers(now time.Time) map[string][]string {
+// regionWatchers returns the ids of the local region's watchers, by failure domain.
+func (n *Instance) regionWatchers(now time.Time) map[string][]string {
 	candidates := make(map[string][]configwatch.Candidate)
 	for _, m := range n.members.Members(now) {
 		if m.Reachable && !m.Leaving() && m.Entry.GetRegion() == n.settings.Region {
@@ -71,53 +72,53 @@
 	return configwatch.RegionWatchers(candidates)
 }
 
-// watches tells whether this instance is to watch the store itself.
-func (n *Instance) watches(now time.Time) bool {
+// isWatcher reports whether this instance is to watch the store itself.
+func (n *Instance) isWatcher(now time.Time) bool {
 	if n.routes.Current() == nil || n.servers.mirror.Revision() == 0 {
-		return true // nothing is known yet: the store is the fastest way
+		return true // nothing is known yet: the store is the fastest source
 	}
-	return slices.Contains(n.watchers(now)[n.settings.Domain], n.settings.ID)
+	return slices.Contains(n.regionWatchers(now)[n.settings.Domain], n.settings.ID)
 }
 
-// pickWatcher returns the address of a watcher to follow, one of the own failure domain
-// if any can be used, and empty when there is none.
-func (n *Instance) pickWatcher(now time.Time, lost map[string]time.Time) string {
-	byDomain := n.watchers(now)
-	var near, far []string
+// pickWatcher returns the address of a watcher to follow, preferably of the local failure
+// domain, or an empty string if there is none.
+func (n *Instance) pickWatcher(now time.Time, avoid map[string]time.Time) string {
+	byDomain := n.regionWatchers(now)
+	var local, remote []string
 	for _, m := range n.members.Members(now) {
 		address, domain := m.Entry.GetPeerAddress(), m.Entry.GetDomain()
-		_, failed := lost[address]
+		_, failed := avoid[address]
 		if failed || m.Entry.GetStoreUnreachable() || m.Entry.GetRegion() != n.settings.Region ||
 			!slices.Contains(byDomain[domain], m.Entry.GetId()) {
 			continue
 		}
 		if domain == n.settings.Domain {
-			near = append(near, address)
+			local = append(local, address)
 		} else {
-			far = append(far, address)
+			remote = append(remote, address)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(local) == 0 {
+		local = remote
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		return ""
 	}
-	return near[rand.IntN(len(near))]
+	return local[rand.IntN(len(local))]
 }
 
-// watchStore watches the store until this instance is to follow another one, but at
-// least until a time.
-func (n *Instance) watchStore(ctx context.Context, least time.Time) {
+// watchStore watches the store until this instance is to follow another one, but at least
+// until a given time.
+func (n *Instance) watchStore(ctx context.Context, minEnd time.Time) {
 	ctx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
-	for _, f := range n.followers {
-		running.Go(func() { n.follow(ctx, f) })
+	for _, f := range n.syncs {
+		running.Go(func() { n.syncPrefix(ctx, f) })
 	}
 	for ctx.Err() == nil {
-		pause(ctx, roleEvery)
+		sleep(ctx, roleCheckInterval)
 		now := time.Now()
-		if now.After(least) && !n.storeAway() && !n.watches(now) && n.pickWatcher(now, nil) != "" {
+		if now.After(minEnd) && !n.storeUnreachable() && !n.isWatcher(now) && n.pickWatcher(now, nil) != "" {
 			break
 		}
 	}
@@ -125,50 +126,50 @@
 	running.Wait()
 }
 
-// followPeer follows a watcher until this instance is to watch itself, which returns
-// true, or until the watcher fails it.
-func (n *Instance) followPeer(ctx context.Context, address string) bool {
+// followWatcher follows a watcher. It returns true when this instance is to watch the store
+// itself, and false when the watcher fails.
+func (n *Instance) followWatcher(ctx context.Context, address string) bool {
 	client, err := n.pool.Get(address)
 	if err != nil {
 		n.log.Error("peer_address", "address", address, "error", err.Error())
 		return false
 	}
 	began := time.Now()
-	heard := began
-	req := &peerpb.FollowRequest{From: n.settings.ID, Known: n.knowledge(), Parts: true}
-	err = n.receive(ctx, client, req, origin{way: wayWatcher, peer: address}, func() bool {
-		heard = time.Now()
-		for _, f := range n.followers {
-			n.storeAnswered(f)
+	lastReceived := began
+	req := &peerpb.FollowRequest{From: n.settings.ID, Known: n.knownRevisions(), Parts: true}
+	err = n.receiveUpdates(ctx, client, req, origin{source: sourceWatcher, peer: address}, func() bool {
+		lastReceived = time.Now()
+		for _, f := range n.syncs {
+			n.markStoreReachable(f)
 		}
-		return !n.watches(heard)
+		return !n.isWatcher(lastReceived)
 	})
 	if err == nil {
 		return true
 	}
-	n.copies.fail(wayWatcher)
+	n.syncMetrics.countFailure(sourceWatcher)
 	n.log.Info("watcher_lost", "address", address, "followed_ms", time.Since(began).Milliseconds(),
-		"silent_ms", time.Since(heard).Milliseconds(), "error", err.Error())
+		"silent_ms", time.Since(lastReceived).Milliseconds(), "error", err.Error())
 	return false
 }
 
-// Follow implements peer.Followed: it hands on what changes, and ends when this
+// Follow implements peer.Followed: it sends changes to a follower, and ends when this
 // instance is no longer up to date.
 func (n *Instance) Follow(req *peerpb.FollowRequest, stream grpc.ServerStreamingServer[peerpb.FollowUpdate]) error {
 	known := req.GetKnown()
 	if req.GetOnce() {
-		return n.sendOnce(stream, known)
+		return n.serveCatchUp(stream, known)
 	}
 	changed := make(chan struct{}, 1)
 	n.subscribers.Store(changed, true)
 	defer n.subscribers.Delete(changed)
-	ticker := time.NewTicker(followBeat)
+	ticker := time.NewTicker(followHeartbeat)
 	defer ticker.Stop()
 	for {
-		if n.storeAway() || n.leaving.Load() {
-			return nil // the follower turns to another one
+		if n.storeUnreachable() || n.leaving.Load() {
+			return nil // the follower picks another watcher
 		}
-		views := n.lacking(known)
+		views := n.viewsSince(known)
 		if err := n.sendUpdate(stream, views, req.GetParts()); err != nil {
 			return err
 		}
@@ -184,8 +185,8 @@
 	}
 }
 
-// announce wakes those who follow this instance.
-func (n *Instance) announce() {
+// notifyFollowers wakes the streams of those that follow this instance.
+func (n *Instance) notifyFollowers() {
 	n.subscribers.Range(func(key, _ any) bool {
 		if c, ok := key.(chan struct{}); ok {
 			select {
