--- a/instance/orders.go
+++ b/instance/orders.go
@@ -29,8 +29,8 @@
 }
 
 func (o *orderIssuer) runOnce(ctx context.Context) {
-	wanted := o.servicesWithOrders()
-	if len(wanted) == 0 {
+	services := o.servicesWithOrders()
+	if len(services) == 0 {
 		return
 	}
 	if err := o.renewOrAcquire(ctx); err != nil {
@@ -40,7 +40,7 @@
 	if !o.lease.Held(time.Now()) {
 		return // another instance holds it
 	}
-	for _, s := range wanted {
+	for _, s := range services {
 		o.orderServers(ctx, s)
 	}
 }
@@ -104,11 +104,11 @@
 // orderServer compares a server's state with its document and sends an order for the
 // difference. The next run shows whether the server complied.
 func (o *orderIssuer) orderServer(ctx context.Context, s *service.Service, server servers.Server) {
-	have, err := o.instance.backend.EngineState(ctx, server.Address)
+	state, err := o.instance.backend.EngineState(ctx, server.Address)
 	if err != nil {
 		return
 	}
-	order, ok := orders.Next(s, server.ID, have, o.lease, time.Now())
+	order, ok := orders.Next(s, server.ID, state, o.lease, time.Now())
 	if !ok {
 		return
 	}
--- a/instance/routed/follow.go
+++ b/instance/routed/follow.go
@@ -37,7 +37,7 @@
 type prefixSync struct {
 	prefix       string
 	mirror       *mirror.Mirror
-	changed      func([]mirror.Item)
+	onChange     func([]mirror.Item)
 	debounce     time.Duration // between a change and the next watch
 	failingSince atomic.Int64  // uptime in nanoseconds since which calls fail; 0 while they succeed
 }
@@ -99,7 +99,7 @@
 		n.log.Info("store_items_from_peer", "prefix", f.prefix, "way", from.source, "peer", from.peer, "items", len(changed),
 			"bytes", itemBytes(changed), "revision", d.Revision)
 	}
-	f.changed(changed)
+	f.onChange(changed)
 	n.notifyFollowers()
 }
 
--- a/instance/routed/instance.go
+++ b/instance/routed/instance.go
@@ -169,8 +169,8 @@
 }
 
 func (n *Instance) initSyncs(source Source) {
-	n.config = &prefixSync{prefix: source.ConfigPrefix(), mirror: mirror.New(), changed: n.applyConfigItems}
-	n.servers = &prefixSync{prefix: source.ServersPrefix(), mirror: mirror.New(), changed: n.applyServerItems, debounce: serversDebounce}
+	n.config = &prefixSync{prefix: source.ConfigPrefix(), mirror: mirror.New(), onChange: n.applyConfigItems}
+	n.servers = &prefixSync{prefix: source.ServersPrefix(), mirror: mirror.New(), onChange: n.applyServerItems, debounce: serversDebounce}
 	n.syncs = []*prefixSync{n.config, n.servers}
 }
 
--- a/instance/routed/metrics.go
+++ b/instance/routed/metrics.go
@@ -53,9 +53,9 @@
 	if len(d.Items) == 0 {
 		return
 	}
-	taken := itemBytes(changed)
-	m.bytes.WithLabelValues(prefix, from.source, itemsNew).Add(float64(taken))
-	m.bytes.WithLabelValues(prefix, from.source, itemsRedundant).Add(float64(max(0, itemBytes(d.Items)-taken)))
+	newBytes := itemBytes(changed)
+	m.bytes.WithLabelValues(prefix, from.source, itemsNew).Add(float64(newBytes))
+	m.bytes.WithLabelValues(prefix, from.source, itemsRedundant).Add(float64(max(0, itemBytes(d.Items)-newBytes)))
 }
 
 func (m *syncMetrics) countFailure(source string) { m.failed.WithLabelValues(source).Inc() }
--- a/instance/slots.go
+++ b/instance/slots.go
@@ -143,7 +143,7 @@
 func (i *Instance) putSlot(ctx context.Context, w slots.Write) (slots.Outcome, int64) {
 	value, err := w.Record.Encode()
 	if err != nil {
-		i.log.Error("slot record", "error", err)
+		i.log.Error("slot record not encoded", "error", err)
 		return slots.Unknown, 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, slotWriteTimeout)
--- a/instance/storewatch.go
+++ b/instance/storewatch.go
@@ -72,13 +72,13 @@
 func (w *storeWatch) setCursor(g configwatch.Generations, now time.Time) {
 	known := w.config.Revision()
 	generation, revision := configwatch.SplitRank(known)
-	whole := w.fullReadDue(now)
-	if w.listed && g.Current == w.generations.Current && !whole {
+	full := w.fullReadDue(now)
+	if w.listed && g.Current == w.generations.Current && !full {
 		return
 	}
 	w.generations, w.listed = g, false
 	switch {
-	case known > 0 && generation == g.Current && !whole:
+	case known > 0 && generation == g.Current && !full:
 		w.cursor = revision
 	default:
 		w.cursor, w.lossUnchecked = 0, known > 0
--- a/instance/storewatch_test.go
+++ b/instance/storewatch_test.go
@@ -217,9 +217,9 @@
 			t.Errorf("instance %d: generation %d", n, generation)
 		}
 	}
-	fresh := newWatcher(m.store)
-	_ = fresh.watch.syncOnce(t.Context(), m.now)
-	if fresh.version("a") != 2 || fresh.version("b") != 3 || fresh.version("c") != 4 {
+	joining := newWatcher(m.store)
+	_ = joining.watch.syncOnce(t.Context(), m.now)
+	if joining.version("a") != 2 || joining.version("b") != 3 || joining.version("c") != 4 {
 		t.Error("the store does not hold what it lost")
 	}
 }
