--- a/instance/fleet_test.go
+++ b/instance/fleet_test.go
@@ -121,10 +121,11 @@
 
 // An operator withdraws a key through an instance in the south while the store is down. A
 // stream of the key from a southern server to a caller in the north has to end with the
-// reason, the server has to get the cancel, and further requests on all instances have to
-// be refused. An instance that starts during the outage must know the withdrawal before it
-// accepts callers. The store has to get the withdrawal when it responds again, and once
-// more after it was restored from a backup without it.
+// reason, the server has to get the cancel, and the caller's next request on the same
+// keep-alive connection has to be refused, as on every other instance. An instance that
+// starts during the outage must know the withdrawal before it accepts callers. The store
+// has to get the withdrawal when it responds again, and once more after it was restored
+// from a backup without it.
 func TestWithdrawalWithoutTheStore(t *testing.T) {
 	var seeds []string
 	f := startFleet(t, func(s *instance.Settings) { s.Seeds = seeds }, north(1, 0), south(2, 1))
--- a/instance/tls_test.go
+++ b/instance/tls_test.go
@@ -176,7 +176,7 @@
 		}
 	}
 	plainText := startFleet(t, func(s *instance.Settings) { s.Seeds = []string{peers} }, north(1, 0))
-	plainText.await("the outsider", func() bool { return plainText.Instances["north-1-entry-1"].Ready() })
+	plainText.await("the plain-text instance", func() bool { return plainText.Instances["north-1-entry-1"].Ready() })
 	if n := len(plainText.Instances["north-1-entry-1"].Status().Instances); n != 1 {
 		t.Errorf("a plain-text instance sees %d instances", n)
 	}
