--- a/coordination/prefix/prefix.go
+++ b/coordination/prefix/prefix.go
@@ -1,9 +1,9 @@
-// Package prefix remembers which servers of the own failure domain hold which
-// blocks of prompts in their caches, from the instance's own dispatches and from
-// the servers' cache events, which come late and with gaps.
+// Package prefix records which servers of the local failure domain have which blocks of
+// prompts cached, from the instance's own dispatches and from the servers' cache events,
+// which arrive late and with gaps.
 //
 // An index belongs to one region. It is never sent to another instance, and it
-// answers nothing for an account whose data must stay elsewhere.
+// returns no match for an account whose data must stay in another region.
 package prefix
 
 import (
@@ -17,15 +17,15 @@
 	// MaxServers is how many servers of a service one index covers. Those with
 	// a higher slot are not indexed.
 	MaxServers = 256
-	// MaxBlocks is how many leading blocks of a prompt are looked at.
+	// MaxBlocks is how many leading blocks of a prompt are matched.
 	MaxBlocks = 128
-	// blocksPerServer bounds the memory for each server.
+	// blocksPerServer bounds the blocks that are indexed for each server, and with them the memory.
 	blocksPerServer = 4096
-	// gapFactor multiplies the events that a gap lost: each may have been an
-	// eviction, and the order in which the server evicts is known roughly only.
-	gapFactor = 2
+	// dropsPerLostEvent is how many blocks are dropped for each event lost in a gap: the event
+	// may have been an eviction, and the server's eviction order is known only roughly.
+	dropsPerLostEvent = 2
 
-	words = MaxServers / 64
+	bitmapWords = MaxServers / 64
 )
 
 // Matches holds how many leading blocks of a prompt each server has cached.
@@ -33,7 +33,7 @@
 	blocks [MaxServers]uint16
 }
 
-// CachedBlocks returns the cached blocks of the server with a slot.
+// CachedBlocks returns the number of leading blocks that the server with a slot has cached.
 func (m *Matches) CachedBlocks(slot int) int {
 	if slot < 0 || slot >= MaxServers {
 		return 0
@@ -41,16 +41,16 @@
 	return int(m.blocks[slot])
 }
 
-type holders [words]uint64
+type serverSet [bitmapWords]uint64
 
-func (h *holders) set(slot int)      { h[slot/64] |= 1 << (slot % 64) }
-func (h *holders) clear(slot int)    { h[slot/64] &^= 1 << (slot % 64) }
-func (h *holders) has(slot int) bool { return h[slot/64]&(1<<(slot%64)) != 0 }
-func (h *holders) empty() bool       { return *h == holders{} }
+func (h *serverSet) set(slot int)      { h[slot/64] |= 1 << (slot % 64) }
+func (h *serverSet) clear(slot int)    { h[slot/64] &^= 1 << (slot % 64) }
+func (h *serverSet) has(slot int) bool { return h[slot/64]&(1<<(slot%64)) != 0 }
+func (h *serverSet) empty() bool       { return *h == serverSet{} }
 
-// held is what one server is believed to hold, the oldest first. A block that
-// was evicted stays in the order until its turn comes.
-type held struct {
+// serverBlocks holds the blocks that one server is expected to have cached, oldest first.
+// A block that was evicted remains in the order until it becomes the oldest.
+type serverBlocks struct {
 	bootID  string
 	order   []tokens.Block
 	head    int
@@ -63,60 +63,60 @@
 	region string
 
 	mu      sync.RWMutex
-	blocks  map[tokens.Block]*holders
-	servers [MaxServers]held
+	blocks  map[tokens.Block]*serverSet
+	servers [MaxServers]serverBlocks
 }
 
 // New returns an empty index of servers in a region.
 func New(region string) *Index {
-	return &Index{region: region, blocks: make(map[tokens.Block]*holders)}
+	return &Index{region: region, blocks: make(map[tokens.Block]*serverSet)}
 }
 
-// Match fills in how many leading blocks of the prompt each server holds. home is
-// the region where the account's data must stay, or empty.
-func (x *Index) Match(blocks []tokens.Block, home string, into *Matches) {
-	*into = Matches{}
-	if home != "" && home != x.region {
+// Match sets the number of leading blocks of the prompt that each server has cached.
+// homeRegion is the region where the account's data must stay, or empty.
+func (x *Index) Match(blocks []tokens.Block, homeRegion string, matches *Matches) {
+	*matches = Matches{}
+	if homeRegion != "" && homeRegion != x.region {
 		return
 	}
 	x.mu.RLock()
 	defer x.mu.RUnlock()
-	var with holders
-	for i := range with {
-		with[i] = ^uint64(0)
+	var matching serverSet
+	for i := range matching {
+		matching[i] = ^uint64(0)
 	}
 	for depth, block := range blocks[:min(len(blocks), MaxBlocks)] {
-		next := holders{}
+		next := serverSet{}
 		if h := x.blocks[block]; h != nil {
 			next = *h
 		}
-		alive := false
-		for w := range with {
-			record(into, w, with[w]&^next[w], uint16(depth))
-			with[w] &= next[w]
-			alive = alive || with[w] != 0
+		anyLeft := false
+		for w := range matching {
+			recordDepth(matches, w, matching[w]&^next[w], uint16(depth))
+			matching[w] &= next[w]
+			anyLeft = anyLeft || matching[w] != 0
 		}
-		if !alive {
+		if !anyLeft {
 			return
 		}
 	}
-	for w := range with {
-		record(into, w, with[w], uint16(min(len(blocks), MaxBlocks)))
+	for w := range matching {
+		recordDepth(matches, w, matching[w], uint16(min(len(blocks), MaxBlocks)))
 	}
 }
 
-func record(into *Matches, word int, ended uint64, depth uint16) {
+func recordDepth(matches *Matches, word int, slots uint64, depth uint16) {
 	if depth == 0 {
 		return
 	}
-	for ; ended != 0; ended &= ended - 1 {
-		into.blocks[word*64+bits.TrailingZeros64(ended)] = depth
+	for ; slots != 0; slots &= slots - 1 {
+		matches.blocks[word*64+bits.TrailingZeros64(slots)] = depth
 	}
 }
 
-// RecordDispatch notes that a server got the prompt and will hold its blocks.
-func (x *Index) RecordDispatch(slot int, home string, blocks []tokens.Block) {
-	if slot < 0 || slot >= MaxServers || (home != "" && home != x.region) {
+// RecordDispatch records that a server got the prompt and will cache its blocks.
+func (x *Index) RecordDispatch(slot int, homeRegion string, blocks []tokens.Block) {
+	if slot < 0 || slot >= MaxServers || (homeRegion != "" && homeRegion != x.region) {
 		return
 	}
 	x.mu.Lock()
@@ -129,7 +129,7 @@
 func (x *Index) store(slot int, block tokens.Block) {
 	h := x.blocks[block]
 	if h == nil {
-		h = &holders{}
+		h = &serverSet{}
 		x.blocks[block] = h
 	}
 	if h.has(slot) {
@@ -166,17 +166,17 @@
 	}
 }
 
-// Event is a server's word that it stored or evicted a block.
+// Event is a server's notification that it stored or evicted a block.
 type Event struct {
 	Seq     int64
 	Evicted bool
 	Block   tokens.Block
 }
 
-// Apply takes in a server's events after those seen before. Numbers that are
-// missing may have been evictions: as many of the oldest blocks and more are
-// dropped, since an entry that is wrong sends a request to a server that has to
-// compute the whole prompt.
+// Apply applies a server's events in order and ignores those already applied. A missing
+// sequence number may have been an eviction: for each of them dropsPerLostEvent of the oldest
+// blocks are dropped, since a wrong entry sends a request to a server that has to compute the
+// whole prompt.
 func (x *Index) Apply(slot int, events []Event) {
 	if slot < 0 || slot >= MaxServers {
 		return
@@ -189,7 +189,7 @@
 			continue
 		}
 		if missing := e.Seq - s.lastSeq - 1; missing > 0 {
-			x.dropOldest(slot, int(min(missing, blocksPerServer))*gapFactor)
+			x.dropOldest(slot, int(min(missing, blocksPerServer))*dropsPerLostEvent)
 		}
 		s.lastSeq = e.Seq
 		if e.Evicted {
@@ -200,7 +200,7 @@
 	}
 }
 
-// LastSeq returns the number of the last event that was taken in.
+// LastSeq returns the sequence number of the last event that was applied.
 func (x *Index) LastSeq(slot int) int64 {
 	if slot < 0 || slot >= MaxServers {
 		return 0
@@ -210,8 +210,8 @@
 	return x.servers[slot].lastSeq
 }
 
-// SetBootID notes the boot id of the server with a slot. Another one than before
-// means an empty cache, be it a restart or another server.
+// SetBootID sets the boot id of the server with a slot. A new boot id means an empty cache,
+// whether the server restarted or another one took the slot.
 func (x *Index) SetBootID(slot int, bootID string) {
 	if slot < 0 || slot >= MaxServers {
 		return
@@ -223,5 +223,5 @@
 		return
 	}
 	x.dropOldest(slot, len(s.order))
-	*s = held{bootID: bootID}
+	*s = serverBlocks{bootID: bootID}
 }
--- a/coordination/prefix/prefix_test.go
+++ b/coordination/prefix/prefix_test.go
@@ -8,16 +8,16 @@
 	"github.com/basilroute/basilroute/protocol/tokens"
 )
 
-func matched(x *Index, slot int, home string, blocks ...tokens.Block) int {
+func matched(x *Index, slot int, homeRegion string, blocks ...tokens.Block) int {
 	var m Matches
-	x.Match(blocks, home, &m)
+	x.Match(blocks, homeRegion, &m)
 	return m.CachedBlocks(slot)
 }
 
-// The server evicts blocks, the events of it are lost, and only later ones come.
-// Requests for the evicted prefix must not go on to that server: the gap drops
-// the oldest blocks, which the lost events may have been about.
-func TestGapDropsWhatItMayHaveTouched(t *testing.T) {
+// The server evicts blocks, and the events about it are lost. Requests for the evicted prefix
+// must not be sent to that server any longer: the gap drops the oldest blocks, which the lost
+// events may have concerned.
+func TestGapDropsOldestBlocks(t *testing.T) {
 	x := New("suva-a")
 	x.SetBootID(0, "boot")
 	x.Apply(0, []Event{{Seq: 1, Block: 1}, {Seq: 2, Block: 2}, {Seq: 3, Block: 30}, {Seq: 4, Block: 31}})
@@ -29,7 +29,7 @@
 		t.Errorf("%d blocks believed cached after a lost event", got)
 	}
 	if got := matched(x, 0, "", 30, 31); got != 2 {
-		t.Errorf("%d of 2 blocks known that one lost event cannot have touched", got)
+		t.Errorf("%d of 2 blocks known that one lost event cannot concern", got)
 	}
 }
 
@@ -41,23 +41,23 @@
 	x.Apply(0, []Event{{Seq: 1, Block: 1}, {Seq: 9, Block: 5}})
 	x.SetBootID(0, "second")
 	if got := matched(x, 0, "", 1, 2); got != 0 || x.LastSeq(0) != 0 {
-		t.Errorf("%d blocks believed cached, events awaited after %d", got, x.LastSeq(0))
+		t.Errorf("%d blocks believed cached, last event %d", got, x.LastSeq(0))
 	}
 }
 
-// Whatever was dispatched and reported, an account whose data must stay in
-// another region finds nothing in the index and leaves nothing in it; and for
-// others a match is never longer than what the server was told or told of.
+// Whatever was dispatched and reported, an account whose data must stay in another region
+// finds no match in the index and adds nothing to it. For other accounts a match never
+// contains a block that was neither dispatched to the server nor reported by it.
 func TestIndexStaysInItsRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New("suva-a")
-		told := make(map[int]map[tokens.Block]bool)
+		recorded := make(map[int]map[tokens.Block]bool)
 		note := func(slot int, blocks ...tokens.Block) {
-			if told[slot] == nil {
-				told[slot] = make(map[tokens.Block]bool)
+			if recorded[slot] == nil {
+				recorded[slot] = make(map[tokens.Block]bool)
 			}
 			for _, b := range blocks {
-				told[slot][b] = true
+				recorded[slot][b] = true
 			}
 		}
 		draw := func() []tokens.Block {
@@ -69,7 +69,7 @@
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			slot := rapid.SampledFrom([]int{0, 1, 63, 64, MaxServers - 1, MaxServers, -1}).Draw(t, "slot")
-			home := rapid.SampledFrom([]string{"", "suva-a", "labasa-a"}).Draw(t, "home")
+			homeRegion := rapid.SampledFrom([]string{"", "suva-a", "labasa-a"}).Draw(t, "home")
 			blocks := draw()
 			if rapid.Bool().Draw(t, "event") {
 				var events []Event
@@ -85,8 +85,8 @@
 				x.Apply(slot, events)
 				continue
 			}
-			x.RecordDispatch(slot, home, blocks)
-			if home != "labasa-a" {
+			x.RecordDispatch(slot, homeRegion, blocks)
+			if homeRegion != "labasa-a" {
 				note(slot, blocks...)
 			}
 		}
@@ -99,8 +99,8 @@
 		x.Match(asked, "", &m)
 		for slot := range MaxServers {
 			for _, b := range asked[:m.CachedBlocks(slot)] {
-				if !told[slot][b] {
-					t.Fatalf("slot %d: block %d was never there", slot, b)
+				if !recorded[slot][b] {
+					t.Fatalf("slot %d: block %d was neither dispatched nor reported", slot, b)
 				}
 			}
 		}
