--- a/coordination/spill/spill.go
+++ b/coordination/spill/spill.go
@@ -1,23 +1,24 @@
 // Package spill decides when a request leaves its region although a server there could
-// still take it.
+// still accept it.
 //
-// # The load that it answers
+// # Workload
 //
-// The regions' peaks come at different times: one has its slots full while another is
-// nearly idle. Some requests may run in a few regions only. As long as every request
-// stays until its region is full, those that could run anywhere hold the slots which the
-// bound ones need, and these are refused beside an idle region. So requests leave early,
-// the more of them the fuller the region is, and each goes to the emptiest region that
-// may take it and still answers in time. The bound ones find room at home.
+// The traffic spikes of the regions come at different times: one region has its slots full
+// while another is nearly idle. Some requests may run in a few regions only. If every request
+// stayed until its region is full, those that may run anywhere would hold the slots that the
+// bound requests need, and these would be refused beside an idle region. So requests spill
+// early, the more of them the fuller the region is, and each goes to the least loaded region
+// that may run it and still responds in time. The bound requests find free slots in their own
+// region.
 //
-// An engine that reads many prompts goes on slowly with all answers that run: they miss
-// their deadlines while its slots are not full, and fill them by and by only because they
-// take so long. So requests leave, too, the more of them the more of the servers' time
-// goes elsewhere than into running answers, for a region where less of it does.
+// An engine that prefills many prompts decodes all running generations slowly: they miss
+// their deadlines while its slots are not full, and fill the slots only gradually because
+// they take so long. So requests also spill when the stall fraction of the region is high,
+// the more of them the higher it is, to a region where it is lower.
 //
-// Only a share of the requests leaves, drawn at random: the word of the other region is
-// a second or two old, and all instances act on the same word at once. With a share that
-// grows with the occupancy the regions draw level without swinging.
+// Only a fraction of the requests spills, drawn at random: the load report of the remote
+// region is a second or two old, and all instances act on the same report at once. With a
+// fraction that grows with the occupancy the regions converge without oscillating.
 //
 // The package does no I/O.
 package spill
@@ -25,38 +26,37 @@
 import "time"
 
 const (
-	// StartOccupancy is the occupancy of the own region at which requests begin to leave. Below
-	// it bursts of a second find room at home, and crossing costs every request the way
-	// there and back.
+	// StartOccupancy is the occupancy of the local region at which requests begin to spill.
+	// Below it, bursts of a second find free slots locally, and forwarding costs every request a
+	// round trip.
 	StartOccupancy = 0.7
-	// to is the occupancy at which all leave that may: with less room left some servers
-	// are full already, since prompts that share parts belong together.
-	to = 0.95
-	// margin is by how much emptier the other region has to be. What has begun to run
-	// there since it spoke is not known; with less two regions at their peak send each
-	// other requests that both refuse.
-	margin = 0.25
-	// slowedFrom and slowedTo are the same for the part of the servers' time that does not
-	// go into running answers: at the first these take half as long again as they need, at
-	// the second three times as long.
-	slowedFrom = 0.35
-	slowedTo   = 0.7
-	// slowedMargin is by how much less that part has to be in the other region.
-	slowedMargin = 0.12
-	// timeShare is the part of the time left within the objective that the answer may
-	// be expected to take by way of the other region; the rest is for what the estimate
-	// does not see.
-	timeShare = 0.8
+	// fullOccupancy is the occupancy at which all requests spill that may: with fewer free slots
+	// some servers are full already, since prompts that share segments go to the same server.
+	fullOccupancy = 0.95
+	// minUtilizationGain is by how much the utilization of the remote region has to be lower.
+	// What has started there since its last report is not known; with a smaller value two regions
+	// in a traffic spike send each other requests that both refuse.
+	minUtilizationGain = 0.25
+	// stallSpillStart and stallSpillFull are the same limits for the stall fraction: at the first,
+	// generations take half as long again as they need, at the second three times as long.
+	stallSpillStart = 0.35
+	stallSpillFull  = 0.7
+	// minStallGain is by how much the stall fraction of the remote region has to be lower.
+	minStallGain = 0.12
+	// objectiveFraction is the fraction of the time left within the objective that the response
+	// may be expected to take by way of the remote region; the rest covers what the estimate
+	// leaves out.
+	objectiveFraction = 0.8
 )
 
 // Occupancy is how full and how slow the servers of a region are.
 type Occupancy struct {
 	Running       float64 // requests
 	Slots         float64 // requests that the servers are sent at most
-	StallFraction float64 // part of the servers' time that does not go into running answers
+	StallFraction float64 // fraction of the servers' time that does not go into decoding running generations
 }
 
-// Utilization returns the part of the slots that is taken; 1 where there are none.
+// Utilization returns the fraction of the slots that is in use; 1 when there are none.
 func (o Occupancy) Utilization() float64 {
 	if o.Slots <= 0 {
 		return 1
@@ -64,43 +64,45 @@
 	return o.Running / o.Slots
 }
 
-// byRoom and bySpeed return the part of the requests that should leave a region for want
-// of slots and of speed.
-func (o Occupancy) byRoom() float64 {
-	return (o.Utilization() - StartOccupancy) / (to - StartOccupancy)
+// spillByOccupancy and spillByStall return the fraction of the requests that should spill for
+// lack of slots and for lack of speed. Values outside 0 to 1 mean none and all.
+func (o Occupancy) spillByOccupancy() float64 {
+	return (o.Utilization() - StartOccupancy) / (fullOccupancy - StartOccupancy)
+}
+func (o Occupancy) spillByStall() float64 {
+	return (o.StallFraction - stallSpillStart) / (stallSpillFull - stallSpillStart)
 }
-func (o Occupancy) bySpeed() float64 { return (o.StallFraction - slowedFrom) / (slowedTo - slowedFrom) }
 
-// ShouldSpill tells whether any request should leave the region.
-func (o Occupancy) ShouldSpill() bool { return o.byRoom() > 0 || o.bySpeed() > 0 }
+// ShouldSpill reports whether any request should leave the region.
+func (o Occupancy) ShouldSpill() bool { return o.spillByOccupancy() > 0 || o.spillByStall() > 0 }
 
-// Region is another region that may take the request.
+// Region is another region that may run the request.
 type Region struct {
 	Occupancy
-	ExpectedFirstByte time.Duration // until the first byte by way of it, as expected
+	ExpectedFirstByte time.Duration // expected time to the first byte by way of it
 }
 
-// ChooseRegion returns the index of the region to which the request should go now, and -1 when
-// it should stay. left is what is left of its objective, 0 when it has none; draw is
+// ChooseRegion returns the index of the region to which the request should spill now, and -1
+// when it should stay. timeLeft is what is left of its objective, 0 when it has none; draw is
 // uniform in [0,1).
-func ChooseRegion(own Occupancy, others []Region, left time.Duration, draw float64) int {
-	byRoom, bySpeed := draw < own.byRoom(), draw < own.bySpeed()
+func ChooseRegion(local Occupancy, remotes []Region, timeLeft time.Duration, draw float64) int {
+	byOccupancy, byStall := draw < local.spillByOccupancy(), draw < local.spillByStall()
 	best := -1
-	for i := range others {
-		o := &others[i]
-		if left > 0 && o.ExpectedFirstByte > time.Duration(timeShare*float64(left)) {
+	for i := range remotes {
+		remote := &remotes[i]
+		if timeLeft > 0 && remote.ExpectedFirstByte > time.Duration(objectiveFraction*float64(timeLeft)) {
 			continue
 		}
-		better := byRoom && o.Utilization() <= own.Utilization()-margin || bySpeed && o.StallFraction <= own.StallFraction-slowedMargin
-		if !better || o.byRoom() > 0 && o.Utilization() > own.Utilization()-margin {
+		better := byOccupancy && remote.Utilization() <= local.Utilization()-minUtilizationGain || byStall && remote.StallFraction <= local.StallFraction-minStallGain
+		if !better || remote.spillByOccupancy() > 0 && remote.Utilization() > local.Utilization()-minUtilizationGain {
 			continue // not better, or faster but about to be full itself
 		}
-		if best < 0 || o.load() < others[best].load() {
+		if best < 0 || remote.load() < remotes[best].load() {
 			best = i
 		}
 	}
 	return best
 }
 
-// load orders regions by what they lack most.
+// load orders regions by their scarcer resource, slots or speed.
 func (o Occupancy) load() float64 { return max(o.Utilization(), o.StallFraction) }
