--- a/coordination/loadhub/loadhub.go
+++ b/coordination/loadhub/loadhub.go
@@ -1,17 +1,18 @@
-// Package loadhub decides whom an instance tells its load, several times a second, and what it
-// makes of what it hears.
+// Package loadhub decides to whom an instance reports its load, several times a second, and
+// which of the reports that it receives it applies.
 //
-// # The load that it answers
+// # Workload
 //
-// The instances of a region send to the same servers. Where each tells all others, their
-// messages grow with the square of the region's instances, and with some sixty of them cost more
-// than answering callers does. So in a large region an instance tells the hubs of its failure
-// domain: two instances that all agree on. A hub answers with the sums of all others' load, and
-// the hubs of a region's domains tell each other those of their domains. An instance whose hubs
-// are silent tells those of the other domains, and where these are silent, too, all others, as
-// in a small region.
+// The instances of a region send to the same servers. Where each reports to all others, the
+// messages grow with the square of the region's instances, and with some sixty of them cost
+// more than serving callers does. So in a large region an instance reports to the hubs of its
+// failure domain: two instances on which all agree. A hub replies with the sum of the load of
+// all others, and the hubs of a region's domains send each other the sums of their domains.
+// An instance whose hubs are unresponsive reports to those of the other domains, and if these
+// are unresponsive, too, to all others, as in a small region.
 //
-// The package does no I/O: messages and the time come in with each call, messages go out.
+// The package does no I/O: messages and the time are passed to each call, and outgoing
+// messages are returned.
 package loadhub
 
 import (
@@ -26,125 +27,125 @@
 )
 
 const (
-	// ReportInterval is the time between messages while something is under way: shorter than it
-	// takes an engine to read one prompt of ordinary size.
+	// ReportInterval is the time between messages while requests are in flight: shorter than it
+	// takes an engine to prefill one prompt of ordinary size.
 	ReportInterval = 60 * time.Millisecond
 
-	// directPeers is the largest number of others that are all told.
-	directPeers = 16
-	hubCount    = 2 // of a failure domain, so that one may be lost
-	// idleEvery is how often an instance with nothing under way tells its hubs so, to be
-	// told of the others when its next request comes.
-	idleEvery = 200 * time.Millisecond
-	// wordFresh is how long an instance's last word counts at a hub.
-	wordFresh = 400 * time.Millisecond
-	// hubSilent is how long a hub may say nothing until another one is listened to: a few of
-	// its messages may be lost.
-	hubSilent = 150 * time.Millisecond
-	// hubsLost is how long all hubs may say nothing until others are told in their place.
-	hubsLost = 400 * time.Millisecond
+	// maxDirectPeers is the largest number of other instances to which an instance reports directly.
+	maxDirectPeers = 16
+	hubsPerDomain  = 2 // so that one may be lost
+	// idleReportInterval is how often an instance without load reports to its hubs, so that it
+	// knows the load of the others when its next request arrives.
+	idleReportInterval = 200 * time.Millisecond
+	// reportTTL is how long an instance's last report counts at a hub.
+	reportTTL = 400 * time.Millisecond
+	// hubTimeout is how long the active hub may be unresponsive before another one replaces it:
+	// a few of its messages may be lost.
+	hubTimeout = 150 * time.Millisecond
+	// allHubsTimeout is how long all hubs may be unresponsive before the fallback is used.
+	allHubsTimeout = 400 * time.Millisecond
 )
 
-// Kind says what a message is.
+// Kind is the kind of a message.
 type Kind int
 
 // Kinds of messages.
 const (
 	Direct    Kind = iota // the sender's own load, to every other instance of the region
-	HubReport             // the sender's own load, to a hub that is to answer
+	HubReport             // the sender's own load, to a hub that is to reply
 	RegionSum             // the load of all others of the region, from a hub
 	DomainSum             // the load of the sender's failure domain, between hubs
 )
 
-// Message is what one instance tells another.
+// Message is a load report between two instances.
 type Message struct {
 	Kind   Kind
 	From   string
-	Domain string // the sender's
+	Domain string // of the sender
 	Report placement.LoadReport
 }
 
-// Envelope is a message with whom it goes to.
+// Envelope is a message with its recipients.
 type Envelope struct {
 	To []netip.AddrPort
 	Message
 }
 
-// Update is what an instance is to take in: the load of a source, which replaces what the
-// source said before.
+// Update is a load report to apply. It replaces the last one of the same source.
 type Update struct {
 	Source string
 	Report placement.LoadReport
 }
 
-// regionSource names the sums of all others of the region.
+// regionSource is the source of the sums over all others of the region.
 const regionSource = "region"
 
 // Peer is another instance of the region.
 type Peer struct {
 	ID, Domain string
 	Address    netip.AddrPort
-	Link       int // rate of its machine's link; 0 when not known
+	Link       int // rate of its machine's link in Mbit/s; 0 when not known
 }
 
-// Exchange is one instance's part. It is not safe for concurrent use.
+// Exchange is the state of one instance in the exchange of load reports. It is not safe for
+// concurrent use.
 type Exchange struct {
 	self   Peer
-	known  []Peer           // of the region, without this one
+	known  []Peer           // peers of the region, without this instance
 	peers  []netip.AddrPort // their addresses
-	hubs   []netip.AddrPort // of the own domain, without this one
+	hubs   []netip.AddrPort // hubs of the local domain, without this instance
 	others []netip.AddrPort // hubs of the region's other domains
 	isHub  bool             // this instance is a hub of its domain
 
-	told     time.Time // its hubs, last
-	wasBusy  bool
-	asking   time.Time // since when it asks hubs; zero before
-	answered time.Time // by a hub of its own domain, last
-	listened source    // the hub that it listens to
-	words    map[string]*word
-	sums     map[string]*domainSum
+	reportedAt      time.Time // when it last reported to its hubs
+	wasBusy         bool
+	askingSince     time.Time    // since when it reports to hubs; zero before
+	localHubContact time.Time    // last contact from a hub of the local domain
+	activeHub       activeSender // the hub whose sums are applied
+	reports         map[string]*memberReport
+	sums            map[string]*domainSum
 }
 
-// source is whom some news is taken from.
-type source struct {
-	id string
-	at time.Time
+// activeSender is the one sender whose messages are applied among several that send the same.
+type activeSender struct {
+	id          string
+	lastContact time.Time
 }
 
-// accepts tells whether news from a sender is taken, and goes on with that sender. Two hubs
-// tell the same: counted twice, their servers would look full.
-func (s *source) accepts(id string, now time.Time) bool {
-	if s.id != id && now.Sub(s.at) < hubSilent {
+// accepts reports whether a message of a sender is to be applied, and makes that sender the
+// active one. Two hubs send the same: counted twice, their servers would look full.
+func (s *activeSender) accepts(id string, now time.Time) bool {
+	if s.id != id && now.Sub(s.lastContact) < hubTimeout {
 		return false
 	}
-	s.id, s.at = id, now
+	s.id, s.lastContact = id, now
 	return true
 }
 
-// word is what an instance said last.
-type word struct {
+// memberReport is the last report of an instance.
+type memberReport struct {
 	Message
-	at      time.Time
-	unheard bool // came since the last round
+	receivedAt time.Time
+	unsent     bool // received since the last round: its outcomes and dispatches are not yet forwarded
 
-	asks     bool // it wants to be told the sums
-	from     netip.AddrPort
-	answered time.Time
-	toldLoad bool // the last answer named some load
+	wantsSum  bool // the instance expects the sum in reply
+	address   netip.AddrPort
+	repliedAt time.Time
+	sentLoad  bool // the last reply contained load
 }
 
 type domainSum struct {
-	source
-	digest  placement.LoadReport
-	unheard bool
+	activeSender
+	report placement.LoadReport
+	unsent bool
 }
 
-// New returns the part of an instance that knows no others.
+// New returns the exchange of an instance that knows no others.
 func New(id, domain string, link int) *Exchange {
-	return &Exchange{self: Peer{ID: id, Domain: domain, Link: link}, words: make(map[string]*word), sums: make(map[string]*domainSum)}
+	return &Exchange{self: Peer{ID: id, Domain: domain, Link: link}, reports: make(map[string]*memberReport), sums: make(map[string]*domainSum)}
 }
 
-// SetPeers takes in the other live instances of the region.
+// SetPeers replaces the list of the other live instances of the region.
 func (e *Exchange) SetPeers(peers []Peer) {
 	if slices.Equal(peers, e.known) {
 		return
@@ -169,118 +170,122 @@
 	}
 }
 
-// hubsOf returns the hubs of a failure domain: those with the widest links, then by the hash.
+// hubsOf returns the hubs of a failure domain: the members with the fastest links, then by hash.
 func hubsOf(members []Peer) []Peer {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b Peer) int {
 		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(hubScore(b.ID), hubScore(a.ID)), cmp.Compare(a.ID, b.ID))
 	})
-	return ranked[:min(len(ranked), hubCount)]
+	return ranked[:min(len(ranked), hubsPerDomain)]
 }
 
 func hubScore(id string) uint64 { return xxhash.Sum64String("load hub\x00" + id) }
 
-// Round returns what to send now and what to take in. own is the own load; rounds are Every apart.
-func (e *Exchange) Round(own placement.LoadReport, now time.Time) (out []Envelope, heard []Update) {
-	busy := len(own.Servers) > 0 || len(own.Dispatches) > 0
-	tell := busy || e.wasBusy // the last one says that nothing is left
+// Round returns the messages to send now and the updates to apply. localReport is the load of
+// this instance; rounds are ReportInterval apart.
+func (e *Exchange) Round(localReport placement.LoadReport, now time.Time) (out []Envelope, updates []Update) {
+	busy := len(localReport.Servers) > 0 || len(localReport.Dispatches) > 0
+	reportDue := busy || e.wasBusy // the last report says that no load is left
 	e.wasBusy = busy
-	if !e.large() {
-		return e.send(out, Direct, e.peers, own, tell), nil
+	if !e.usesHubs() {
+		return e.send(out, Direct, e.peers, localReport, reportDue), nil
 	}
-	e.forget(now)
-	if e.asking.IsZero() {
-		e.asking = now
+	e.dropExpired(now)
+	if e.askingSince.IsZero() {
+		e.askingSince = now
 	}
-	if tell || now.Sub(e.told) >= idleEvery {
-		e.told = now
-		out = e.send(out, HubReport, e.hubs, own, true)
-		out = e.send(out, HubReport, e.others, own, e.silent(e.answered, hubsLost, now))
+	if reportDue || now.Sub(e.reportedAt) >= idleReportInterval {
+		e.reportedAt = now
+		out = e.send(out, HubReport, e.hubs, localReport, true)
+		out = e.send(out, HubReport, e.others, localReport, e.hubsUnresponsive(e.localHubContact, allHubsTimeout, now))
 	}
-	out = e.send(out, Direct, e.peers, own, tell && e.silent(e.listened.at, e.patience(), now))
-	return e.asHub(out, own, now)
+	out = e.send(out, Direct, e.peers, localReport, reportDue && e.hubsUnresponsive(e.activeHub.lastContact, e.directTimeout(), now))
+	return e.runHub(out, localReport, now)
 }
 
-// silent tells whether hubs have said nothing since a time, although they were asked, for too long.
-func (e *Exchange) silent(since time.Time, limit time.Duration, now time.Time) bool {
-	return !e.isHub && now.Sub(since) >= limit && now.Sub(e.asking) >= limit
+// hubsUnresponsive reports whether the hubs have been unresponsive for the limit since a time,
+// although this instance reported to them for as long.
+func (e *Exchange) hubsUnresponsive(since time.Time, limit time.Duration, now time.Time) bool {
+	return !e.isHub && now.Sub(since) >= limit && now.Sub(e.askingSince) >= limit
 }
 
-// patience is how long no hub at all may answer: those of other domains are asked second.
-func (e *Exchange) patience() time.Duration {
+// directTimeout is how long all hubs may be unresponsive before this instance reports to every
+// other one: the hubs of other domains are tried first.
+func (e *Exchange) directTimeout() time.Duration {
 	if len(e.others) == 0 {
-		return hubsLost
+		return allHubsTimeout
 	}
-	return 2 * hubsLost
+	return 2 * allHubsTimeout
 }
 
-// large tells whether the region is so large that not all others are told.
-func (e *Exchange) large() bool { return len(e.peers) > directPeers }
+// usesHubs reports whether the region is too large for reports to all others.
+func (e *Exchange) usesHubs() bool { return len(e.peers) > maxDirectPeers }
 
-func (e *Exchange) send(out []Envelope, kind Kind, to []netip.AddrPort, d placement.LoadReport, due bool) []Envelope {
+func (e *Exchange) send(out []Envelope, kind Kind, to []netip.AddrPort, report placement.LoadReport, due bool) []Envelope {
 	if !due || len(to) == 0 {
 		return out
 	}
-	return append(out, Envelope{to, e.message(kind, d)})
+	return append(out, Envelope{to, e.message(kind, report)})
 }
 
-func (e *Exchange) message(kind Kind, d placement.LoadReport) Message {
-	return Message{Kind: kind, From: e.self.ID, Domain: e.self.Domain, Report: d}
+func (e *Exchange) message(kind Kind, report placement.LoadReport) Message {
+	return Message{Kind: kind, From: e.self.ID, Domain: e.self.Domain, Report: report}
 }
 
-// Receive takes in a message, and returns what to take in of it at once.
+// Receive processes a message, and returns the update to apply at once, if any.
 func (e *Exchange) Receive(m Message, from netip.AddrPort, now time.Time) (Update, bool) {
 	switch m.Kind {
 	case RegionSum:
-		if e.isHub || !e.listens(&m, now) {
+		if e.isHub || !e.acceptsSum(&m, now) {
 			return Update{}, false
 		}
 		return Update{regionSource, m.Report}, true
 	case HubReport:
-		e.hearWord(m, from, true, now)
+		e.recordReport(m, from, true, now)
 		return Update{}, false
 	case DomainSum:
-		e.hearSum(m, now)
+		e.recordSum(m, now)
 		return Update{}, false
 	}
 	switch {
-	case e.large() && e.isHub:
-		e.hearWord(m, from, false, now)
+	case e.usesHubs() && e.isHub:
+		e.recordReport(m, from, false, now)
 		return Update{}, false
-	case now.Sub(e.listened.at) < hubsLost:
-		return Update{}, false // it is in the sums that the hub tells
+	case now.Sub(e.activeHub.lastContact) < allHubsTimeout:
+		return Update{}, false // it is contained in the hub's sum
 	}
 	return Update{m.From, m.Report}, true
 }
 
-// listens tells whether the sums of a hub are taken in. One of the own domain goes before others.
-func (e *Exchange) listens(m *Message, now time.Time) bool {
+// acceptsSum reports whether the sum of a hub is to be applied. A hub of the local domain takes
+// precedence over others.
+func (e *Exchange) acceptsSum(m *Message, now time.Time) bool {
 	if m.Domain != e.self.Domain {
-		return e.listened.accepts(m.From, now)
+		return e.activeHub.accepts(m.From, now)
 	}
-	if now.Sub(e.answered) >= hubSilent {
-		e.listened = source{}
+	if now.Sub(e.localHubContact) >= hubTimeout {
+		e.activeHub = activeSender{}
 	}
-	e.answered = now
-	return e.listened.accepts(m.From, now)
+	e.localHubContact = now
+	return e.activeHub.accepts(m.From, now)
 }
 
-func (e *Exchange) hearWord(m Message, from netip.AddrPort, asks bool, now time.Time) {
-	w := e.words[m.From]
-	if w == nil {
-		w = &word{}
-		e.words[m.From] = w
+func (e *Exchange) recordReport(m Message, from netip.AddrPort, wantsSum bool, now time.Time) {
+	member := e.reports[m.From]
+	if member == nil {
+		member = &memberReport{}
+		e.reports[m.From] = member
 	}
-	if w.unheard { // two since the last round
-		m.Report = later(&w.Report, m.Report)
+	if member.unsent { // the second one since the last round
+		m.Report = mergeReports(&member.Report, m.Report)
 	}
-	w.Message, w.at, w.unheard = m, now, true
-	if asks {
-		w.asks, w.from = true, from
+	member.Message, member.receivedAt, member.unsent = m, now, true
+	if wantsSum {
+		member.wantsSum, member.address = true, from
 	}
 }
 
-func (e *Exchange) hearSum(m Message, now time.Time) {
+func (e *Exchange) recordSum(m Message, now time.Time) {
 	s := e.sums[m.Domain]
 	if s == nil {
 		s = &domainSum{}
@@ -289,72 +294,73 @@
 	if !s.accepts(m.From, now) {
 		return
 	}
-	if s.unheard {
-		m.Report = later(&s.digest, m.Report)
+	if s.unsent {
+		m.Report = mergeReports(&s.report, m.Report)
 	}
-	s.digest, s.unheard = m.Report, true
+	s.report, s.unsent = m.Report, true
 }
 
-func (e *Exchange) forget(now time.Time) {
-	for id, w := range e.words {
-		if now.Sub(w.at) > wordFresh {
-			delete(e.words, id)
+func (e *Exchange) dropExpired(now time.Time) {
+	for id, member := range e.reports {
+		if now.Sub(member.receivedAt) > reportTTL {
+			delete(e.reports, id)
 		}
 	}
 	for domain, s := range e.sums {
-		if now.Sub(s.at) > wordFresh {
+		if now.Sub(s.lastContact) > reportTTL {
 			delete(e.sums, domain)
 		}
 	}
 }
 
-// asHub answers those who ask, tells the hubs of the other domains, and takes in the sums.
-func (e *Exchange) asHub(out []Envelope, own placement.LoadReport, now time.Time) ([]Envelope, []Update) {
-	if len(e.words) == 0 && !e.isHub {
+// runHub replies to the instances that reported, sends the sum of the local domain to the hubs
+// of the other domains, and returns the sum over the region as an update.
+func (e *Exchange) runHub(out []Envelope, localReport placement.LoadReport, now time.Time) ([]Envelope, []Update) {
+	if len(e.reports) == 0 && !e.isHub {
 		return out, nil
 	}
-	domain, region := e.heardLoad()
-	var heard []Update
+	domain, region := e.sumLoads()
+	var updates []Update
 	if e.isHub {
-		heard = append(heard, Update{regionSource, region.digest(nil, false)})
+		updates = append(updates, Update{regionSource, region.report(nil, false)})
 	}
-	domain.add(&own, true)
-	region.add(&own, true)
-	for _, w := range e.words {
-		out = e.answer(out, w, region, now)
-		w.unheard = false
+	domain.add(&localReport, true)
+	region.add(&localReport, true)
+	for _, member := range e.reports {
+		out = e.replyWithSum(out, member, region, now)
+		member.unsent = false
 	}
 	for _, s := range e.sums {
-		s.unheard = false
+		s.unsent = false
 	}
-	return e.send(out, DomainSum, e.others, domain.digest(nil, false), e.isHub && len(domain.servers) > 0), heard
+	return e.send(out, DomainSum, e.others, domain.report(nil, false), e.isHub && len(domain.servers) > 0), updates
 }
 
-// heardLoad returns what the others of the own domain and of the region have under way.
-func (e *Exchange) heardLoad() (domain, region *sum) {
-	domain, region = newSum(), newSum()
-	for _, w := range e.words {
-		region.add(&w.Report, w.unheard)
-		if w.Domain == e.self.Domain {
-			domain.add(&w.Report, w.unheard)
+// sumLoads returns the load of the others of the local domain and of the region.
+func (e *Exchange) sumLoads() (domain, region *loadSum) {
+	domain, region = newLoadSum(), newLoadSum()
+	for _, member := range e.reports {
+		region.add(&member.Report, member.unsent)
+		if member.Domain == e.self.Domain {
+			domain.add(&member.Report, member.unsent)
 		}
 	}
 	for _, s := range e.sums {
-		region.add(&s.digest, s.unheard)
+		region.add(&s.report, s.unsent)
 	}
 	return domain, region
 }
 
-// answer tells the sums to an instance that asked, less often while there is no load.
-func (e *Exchange) answer(out []Envelope, w *word, region *sum, now time.Time) []Envelope {
-	if !w.asks || slices.Contains(e.hubs, w.from) {
+// replyWithSum sends the sum to an instance that expects it, less often while there is no load.
+func (e *Exchange) replyWithSum(out []Envelope, member *memberReport, region *loadSum, now time.Time) []Envelope {
+	if !member.wantsSum || slices.Contains(e.hubs, member.address) {
 		return out
 	}
-	d := region.digest(&w.Report, w.unheard)
-	loaded := len(d.Servers) > 0
-	if !loaded && !w.toldLoad && now.Sub(w.answered) < idleEvery {
+	reply := region.report(&member.Report, member.unsent)
+	hasLoad := len(reply.Servers) > 0
+	if !hasLoad && !member.sentLoad && now.Sub(member.repliedAt) < idleReportInterval {
 		return out
 	}
-	w.answered, w.toldLoad = now, loaded
-	return append(out, Envelope{[]netip.AddrPort{w.from}, e.message(RegionSum, d)})
+	member.repliedAt, member.sentLoad = now, hasLoad
+	return append(out, Envelope{[]netip.AddrPort{member.address}, e.message(RegionSum, reply)})
 }
--- a/coordination/loadhub/loadhub_test.go
+++ b/coordination/loadhub/loadhub_test.go
@@ -12,117 +12,117 @@
 )
 
 const (
-	testServers = 50
-	testOwn     = 3 // servers at which an instance has something under way
+	testServers      = 50
+	testServersInUse = 3 // servers at which an instance has requests in flight
 )
 
-// region is a region of instances in virtual time. Each has work that changes.
-type region struct {
-	rng   *rand.Rand
-	now   time.Time
-	all   []Peer
-	parts map[netip.AddrPort]*instance
-	loss  float64
-	sent  int
+// simRegion is a region of instances in virtual time. Each has load that changes.
+type simRegion struct {
+	rng       *rand.Rand
+	now       time.Time
+	all       []Peer
+	instances map[netip.AddrPort]*simInstance
+	loss      float64
+	sent      int
 }
 
-type instance struct {
+type simInstance struct {
 	Peer
-	exchange *Exchange
-	own      placement.LoadReport
-	heard    map[string]placement.LoadReport
-	heardAt  map[string]time.Time
-	served   int // requests of others of which it has heard that they ended
-	messages int // sent
-	dead     bool
+	exchange    *Exchange
+	localReport placement.LoadReport
+	updates     map[string]placement.LoadReport
+	updatedAt   map[string]time.Time
+	served      int // ended requests of others that were reported to it
+	messages    int // sent
+	dead        bool
 }
 
-func newRegion(size, domains int) *region {
-	r := &region{rng: rand.New(rand.NewPCG(1, uint64(size))), now: time.Unix(1000, 0), parts: make(map[netip.AddrPort]*instance)}
+func newSimRegion(size, domains int) *simRegion {
+	r := &simRegion{rng: rand.New(rand.NewPCG(1, uint64(size))), now: time.Unix(1000, 0), instances: make(map[netip.AddrPort]*simInstance)}
 	for i := range size {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 200), byte(i % 200)}), 1)
 		r.all = append(r.all, Peer{ID: fmt.Sprint("i", i), Domain: fmt.Sprint("d", i%domains), Address: address})
 	}
 	for _, p := range r.all {
-		r.parts[p.Address] = &instance{
-			Peer: p, exchange: New(p.ID, p.Domain, 0), heard: make(map[string]placement.LoadReport), heardAt: make(map[string]time.Time),
+		r.instances[p.Address] = &simInstance{
+			Peer: p, exchange: New(p.ID, p.Domain, 0), updates: make(map[string]placement.LoadReport), updatedAt: make(map[string]time.Time),
 		}
 	}
-	r.meet()
+	r.updatePeers()
 	return r
 }
 
-// meet lets all know who lives.
-func (r *region) meet() {
+// updatePeers gives all instances the list of live ones.
+func (r *simRegion) updatePeers() {
 	for _, p := range r.all {
 		var others []Peer
 		for _, other := range r.all {
-			if other != p && !r.parts[other.Address].dead {
+			if other != p && !r.instances[other.Address].dead {
 				others = append(others, other)
 			}
 		}
-		r.parts[p.Address].exchange.SetPeers(others)
+		r.instances[p.Address].exchange.SetPeers(others)
 	}
 }
 
-// draw gives each instance some work.
-func (r *region) draw() {
+// drawLoads gives each instance some random load.
+func (r *simRegion) drawLoads() {
 	for _, p := range r.all {
-		i := r.parts[p.Address]
-		i.own = placement.LoadReport{}
-		for n := range testOwn {
-			i.own.Servers = append(i.own.Servers, placement.ServerLoad{
-				Server: uint32(r.rng.IntN(testServers/testOwn)*testOwn + n), InFlight: 1 + r.rng.IntN(3), PendingTokens: r.rng.IntN(5000),
+		i := r.instances[p.Address]
+		i.localReport = placement.LoadReport{}
+		for n := range testServersInUse {
+			i.localReport.Servers = append(i.localReport.Servers, placement.ServerLoad{
+				Server: uint32(r.rng.IntN(testServers/testServersInUse)*testServersInUse + n), InFlight: 1 + r.rng.IntN(3), PendingTokens: r.rng.IntN(5000),
 			})
 		}
 	}
 }
 
-// round lets all tell their load; messages arrive within it.
-func (r *region) round() {
+// round runs one round of all instances; messages are delivered within it.
+func (r *simRegion) round() {
 	r.now = r.now.Add(ReportInterval)
 	for _, p := range r.all {
-		if i := r.parts[p.Address]; !i.dead {
-			out, heard := i.exchange.Round(placement.LoadReport{Servers: slices.Clone(i.own.Servers)}, r.now)
-			for _, h := range heard {
-				i.absorb(h, r.now)
+		if i := r.instances[p.Address]; !i.dead {
+			out, updates := i.exchange.Round(placement.LoadReport{Servers: slices.Clone(i.localReport.Servers)}, r.now)
+			for _, update := range updates {
+				i.applyUpdate(update, r.now)
 			}
 			for _, e := range out {
 				r.deliver(i, e)
 			}
-			for n := range i.own.Servers {
-				i.own.Servers[n].Served = 0
+			for n := range i.localReport.Servers {
+				i.localReport.Servers[n].Served = 0
 			}
 		}
 	}
 }
 
-func (r *region) deliver(from *instance, e Envelope) {
+func (r *simRegion) deliver(from *simInstance, e Envelope) {
 	for _, to := range e.To {
 		r.sent++
 		from.messages++
-		i := r.parts[to]
+		i := r.instances[to]
 		if i.dead || r.rng.Float64() < r.loss {
 			continue
 		}
-		if heard, ok := i.exchange.Receive(e.Message, from.Address, r.now); ok {
-			i.absorb(heard, r.now)
+		if update, ok := i.exchange.Receive(e.Message, from.Address, r.now); ok {
+			i.applyUpdate(update, r.now)
 		}
 	}
 }
 
-func (i *instance) absorb(h Update, now time.Time) {
-	i.heard[h.Source], i.heardAt[h.Source] = h.Report, now
-	for _, load := range h.Report.Servers {
+func (i *simInstance) applyUpdate(update Update, now time.Time) {
+	i.updates[update.Source], i.updatedAt[update.Source] = update.Report, now
+	for _, load := range update.Report.Servers {
 		i.served += load.Served
 	}
 }
 
-// believed returns the requests at a server that an instance takes others to have there.
-func (i *instance) believed(server uint32, now time.Time) (inFlight int) {
-	for source, d := range i.heard {
-		for _, load := range d.Servers {
-			if load.Server == server && now.Sub(i.heardAt[source]) <= wordFresh {
+// believedInFlight returns the requests that an instance believes others to have at a server.
+func (i *simInstance) believedInFlight(server uint32, now time.Time) (inFlight int) {
+	for source, report := range i.updates {
+		for _, load := range report.Servers {
+			if load.Server == server && now.Sub(i.updatedAt[source]) <= reportTTL {
 				inFlight += load.InFlight
 			}
 		}
@@ -130,79 +130,80 @@
 	return inFlight
 }
 
-// wrong returns the part of all requests that instances are wrong about, on average.
-func (r *region) wrong() float64 {
+// meanError returns the fraction of all requests that instances are wrong about, on average.
+func (r *simRegion) meanError() float64 {
 	total := make(map[uint32]int)
 	all := 0
 	for _, p := range r.all {
-		if i := r.parts[p.Address]; !i.dead {
-			for _, load := range i.own.Servers {
+		if i := r.instances[p.Address]; !i.dead {
+			for _, load := range i.localReport.Servers {
 				total[load.Server] += load.InFlight
 				all += load.InFlight
 			}
 		}
 	}
-	off, living := 0, 0
+	errors, live := 0, 0
 	for _, p := range r.all {
-		i := r.parts[p.Address]
+		i := r.instances[p.Address]
 		if i.dead {
 			continue
 		}
-		living++
+		live++
 		for server := range uint32(testServers) {
-			own := 0
-			for _, load := range i.own.Servers {
+			local := 0
+			for _, load := range i.localReport.Servers {
 				if load.Server == server {
-					own = load.InFlight
+					local = load.InFlight
 				}
 			}
-			off += max(total[server]-own-i.believed(server, r.now), i.believed(server, r.now)-total[server]+own)
+			errors += max(total[server]-local-i.believedInFlight(server, r.now), i.believedInFlight(server, r.now)-total[server]+local)
 		}
 	}
-	return float64(off) / float64(living*all)
+	return float64(errors) / float64(live*all)
 }
 
-func (r *region) rounds(n int) {
+func (r *simRegion) rounds(n int) {
 	for range n {
 		r.round()
 	}
 }
 
-// Guards against datagrams whose number grows with the square of a region's instances.
+// Guards against a number of datagrams that grows with the square of a region's instances.
 func TestMessagesGrowWithTheInstances(t *testing.T) {
 	const rounds = 50
 	perInstance := make(map[int]float64)
 	for _, size := range []int{30, 65, 130} {
-		r := newRegion(size, 2)
-		r.draw()
+		r := newSimRegion(size, 2)
+		r.drawLoads()
 		r.rounds(rounds)
-		if wrong := r.wrong(); wrong > 0 {
+		if wrong := r.meanError(); wrong > 0 {
 			t.Errorf("%d instances: wrong about %.2f of the load, which has not changed for %d rounds", size, wrong, rounds)
 		}
 		perInstance[size] = float64(r.sent) / float64(size*rounds)
-		t.Logf("%d instances: %.2f datagrams a round and instance", size, perInstance[size])
+		t.Logf("%d instances: %.2f datagrams per round and instance", size, perInstance[size])
 	}
 	if perInstance[130] > 1.2*perInstance[30] || perInstance[130] > 6 {
-		t.Errorf("%.2f datagrams an instance and round at 30 instances, %.2f at 130", perInstance[30], perInstance[130])
+		t.Errorf("%.2f datagrams per instance and round at 30 instances, %.2f at 130", perInstance[30], perInstance[130])
 	}
 }
 
 // Guards against a small region that depends on hubs.
-func TestSmallRegionTellsAll(t *testing.T) {
-	r := newRegion(1+directPeers, 2)
-	r.draw()
+func TestSmallRegionReportsToAll(t *testing.T) {
+	r := newSimRegion(1+maxDirectPeers, 2)
+	r.drawLoads()
 	r.rounds(1)
-	if r.sent != (1+directPeers)*directPeers || r.wrong() > 0 {
-		t.Errorf("%d datagrams, wrong about %.2f of the load", r.sent, r.wrong())
+	if r.sent != (1+maxDirectPeers)*maxDirectPeers || r.meanError() > 0 {
+		t.Errorf("%d datagrams, wrong about %.2f of the load", r.sent, r.meanError())
 	}
 }
 
-// Guards against instances that know nothing of the others' load while a dead hub still counts as a member.
+// Guards against instances that do not know the others' load while a dead hub is still listed
+// as a member.
 func TestLostHubsAreMadeUpFor(t *testing.T) {
-	for name, hubs := range map[string]int{"one hub of a domain": 1, "all hubs of a domain": hubCount} {
+	for name, hubs := range map[string]int{"one hub of a domain": 1, "all hubs of a domain": hubsPerDomain} {
 		t.Run(name, func(t *testing.T) {
-			r := newRegion(64, 2)
-			r.draw()
+			r := newSimRegion(64, 2)
+			r.drawLoads()
 			r.rounds(10)
 			var domain []Peer
 			for _, p := range r.all {
@@ -211,96 +212,97 @@
 				}
 			}
 			for _, hub := range hubsOf(domain)[:hubs] {
-				r.parts[hub.Address].dead = true
+				r.instances[hub.Address].dead = true
 			}
-			r.rounds(int(hubsLost/ReportInterval) + 2)
-			r.draw()
+			r.rounds(int(allHubsTimeout/ReportInterval) + 2)
+			r.drawLoads()
 			r.rounds(3)
-			if wrong := r.wrong(); wrong > 0.02 {
-				t.Errorf("wrong about %.2f of the load before the members know", wrong)
+			if wrong := r.meanError(); wrong > 0.02 {
+				t.Errorf("wrong about %.2f of the load before the hubs are removed from the members", wrong)
 			}
-			r.meet()
-			r.rounds(int(hubsLost/ReportInterval) + 4)
+			r.updatePeers()
+			r.rounds(int(allHubsTimeout/ReportInterval) + 4)
 			sent := r.sent
 			r.rounds(1)
-			if wrong := r.wrong(); wrong > 0 || r.sent-sent > 64*6 {
-				t.Errorf("wrong about %.2f of the load, %d datagrams in a round, once the members know", wrong, r.sent-sent)
+			if wrong := r.meanError(); wrong > 0 || r.sent-sent > 64*6 {
+				t.Errorf("wrong about %.2f of the load, %d datagrams in a round, once the hubs are removed from the members", wrong, r.sent-sent)
 			}
 		})
 	}
 }
 
-// Guards against sums that count an instance twice or forget it where datagrams are lost.
+// Guards against sums that count an instance twice or omit it when datagrams are lost.
 func TestLostDatagramsDoNotDistortTheSums(t *testing.T) {
-	r := newRegion(64, 2)
+	r := newSimRegion(64, 2)
 	r.loss = 0.05
 	worst := 0.0
 	for range 20 {
-		r.draw()
+		r.drawLoads()
 		r.rounds(6)
-		worst = max(worst, r.wrong())
+		worst = max(worst, r.meanError())
 	}
 	if worst > 0.05 {
 		t.Errorf("wrong about %.2f of the load", worst)
 	}
 }
 
-// Guards against outcomes that are told twice, once by each hub, or not at all.
+// Guards against outcomes that are reported twice, once by each hub, or not at all.
 func TestOutcomesAreToldOnce(t *testing.T) {
-	r := newRegion(64, 2)
-	r.draw()
+	r := newSimRegion(64, 2)
+	r.drawLoads()
 	r.rounds(10)
 	before := make(map[string]int)
-	for _, i := range r.parts {
+	for _, i := range r.instances {
 		before[i.ID] = i.served
 	}
-	teller := r.parts[r.all[5].Address]
-	teller.own.Servers[0].Served = 7
+	reporter := r.instances[r.all[5].Address]
+	reporter.localReport.Servers[0].Served = 7
 	r.rounds(6)
-	for _, i := range r.parts {
-		if got := i.served - before[i.ID]; i != teller && got != 7 {
-			t.Errorf("%s heard of %d requests that ended, want 7", i.ID, got)
+	for _, i := range r.instances {
+		if got := i.served - before[i.ID]; i != reporter && got != 7 {
+			t.Errorf("%s received %d ended requests, want 7", i.ID, got)
 		}
 	}
 }
 
-// Guards against an idle instance that knows nothing of the others when its next request comes, and against a busy idle fleet.
+// Guards against an idle instance that does not know the others' load when its next request
+// arrives, and against an idle fleet that sends many messages.
 func TestIdleInstanceKnowsTheLoad(t *testing.T) {
-	r := newRegion(64, 2)
-	r.draw()
-	idle := r.parts[r.all[7].Address]
-	idle.own = placement.LoadReport{}
+	r := newSimRegion(64, 2)
+	r.drawLoads()
+	idle := r.instances[r.all[7].Address]
+	idle.localReport = placement.LoadReport{}
 	r.rounds(20)
-	if wrong := r.wrong(); wrong > 0 {
+	if wrong := r.meanError(); wrong > 0 {
 		t.Errorf("wrong about %.2f of the load", wrong)
 	}
-	for _, i := range r.parts {
-		i.own = placement.LoadReport{}
+	for _, i := range r.instances {
+		i.localReport = placement.LoadReport{}
 	}
 	r.rounds(20)
 	sent := r.sent
 	r.rounds(50)
 	if per := float64(r.sent-sent) / (64 * 50 * ReportInterval.Seconds()); per > 25 {
-		t.Errorf("%.0f datagrams a second and instance of an idle fleet", per)
+		t.Errorf("%.0f datagrams per second and instance of an idle fleet", per)
 	}
 }
 
-// BenchmarkSizeHubRound is a round of a hub, sixteen a second, in a region of two failure domains.
+// BenchmarkSizeHubRound measures a round of a hub in a region of two failure domains; there are sixteen rounds a second.
 func BenchmarkSizeHubRound(b *testing.B) {
 	for _, size := range []int{30, 65, 130, 260} {
 		b.Run(fmt.Sprintf("n=%d", size), func(b *testing.B) {
-			r := newRegion(size, 2)
-			r.draw()
+			r := newSimRegion(size, 2)
+			r.drawLoads()
 			r.rounds(10)
-			var hub *instance
+			var hub *simInstance
 			for _, p := range r.all {
-				if i := r.parts[p.Address]; i.exchange.isHub {
+				if i := r.instances[p.Address]; i.exchange.isHub {
 					hub = i
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				hub.exchange.Round(hub.own, r.now)
+				hub.exchange.Round(hub.localReport, r.now)
 			}
 		})
 	}
--- a/coordination/loadhub/sum.go
+++ b/coordination/loadhub/sum.go
@@ -7,25 +7,25 @@
 	"github.com/basilroute/basilroute/coordination/placement"
 )
 
-// sum is the load of several instances. What ended and what was sent counts once, in the
-// round in which it was told.
-type sum struct {
+// loadSum is the load of several instances. Outcomes and dispatches count once, in the round
+// after they were received.
+type loadSum struct {
 	servers    map[uint32]placement.ServerLoad
 	dispatches []placement.Dispatch
 }
 
-func newSum() *sum { return &sum{servers: make(map[uint32]placement.ServerLoad)} }
+func newLoadSum() *loadSum { return &loadSum{servers: make(map[uint32]placement.ServerLoad)} }
 
-func (s *sum) add(d *placement.LoadReport, unheard bool) {
-	for _, load := range d.Servers {
-		s.count(load, unheard)
+func (s *loadSum) add(report *placement.LoadReport, unsent bool) {
+	for _, load := range report.Servers {
+		s.addServer(load, unsent)
 	}
-	if unheard {
-		s.dispatches = append(s.dispatches, d.Dispatches...)
+	if unsent {
+		s.dispatches = append(s.dispatches, report.Dispatches...)
 	}
 }
 
-func (s *sum) count(load placement.ServerLoad, outcomes bool) {
+func (s *loadSum) addServer(load placement.ServerLoad, outcomes bool) {
 	total := s.servers[load.Server]
 	total.Server = load.Server
 	total.PendingTokens += load.PendingTokens
@@ -39,12 +39,13 @@
 	s.servers[load.Server] = total
 }
 
-// digest returns the sum without what one instance of it contributed.
-func (s *sum) digest(without *placement.LoadReport, unheard bool) placement.LoadReport {
-	own := make(map[uint32]placement.ServerLoad)
-	if without != nil {
-		for _, load := range without.Servers {
-			own[load.Server] = load
+// report returns the sum without the contribution of one instance. unsent says whether the
+// outcomes of that instance are part of the sum.
+func (s *loadSum) report(excluded *placement.LoadReport, unsent bool) placement.LoadReport {
+	excludedLoads := make(map[uint32]placement.ServerLoad)
+	if excluded != nil {
+		for _, load := range excluded.Servers {
+			excludedLoads[load.Server] = load
 		}
 	}
 	out := placement.LoadReport{Dispatches: s.dispatches}
@@ -52,13 +53,13 @@
 		out.Dispatches = out.Dispatches[:placement.MaxDispatches]
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.servers)) {
-		load, less := s.servers[id], own[id]
-		load.PendingTokens -= less.PendingTokens
-		load.UrgentTokens -= less.UrgentTokens
-		load.InFlight -= less.InFlight
-		if unheard {
-			load.Served -= less.Served
-			load.Failed -= less.Failed
+		load, minus := s.servers[id], excludedLoads[id]
+		load.PendingTokens -= minus.PendingTokens
+		load.UrgentTokens -= minus.UrgentTokens
+		load.InFlight -= minus.InFlight
+		if unsent {
+			load.Served -= minus.Served
+			load.Failed -= minus.Failed
 		}
 		if load.PendingTokens != 0 || load.InFlight != 0 || load.Served != 0 || load.Failed != 0 || load.Down {
 			out.Servers = append(out.Servers, load)
@@ -67,23 +68,24 @@
 	return out
 }
 
-// later returns the newer of two words of one sender, with what ended and was sent by both.
-func later(first *placement.LoadReport, second placement.LoadReport) placement.LoadReport {
-	ended := make(map[uint32]placement.ServerLoad)
+// mergeReports returns the newer of two reports of one sender, with the outcomes and the
+// dispatches of both.
+func mergeReports(first *placement.LoadReport, second placement.LoadReport) placement.LoadReport {
+	earlier := make(map[uint32]placement.ServerLoad)
 	for _, load := range first.Servers {
-		ended[load.Server] = load
+		earlier[load.Server] = load
 	}
 	out := placement.LoadReport{Dispatches: slices.Concat(first.Dispatches, second.Dispatches)}
 	for _, load := range second.Servers {
-		before := ended[load.Server]
-		delete(ended, load.Server)
+		before := earlier[load.Server]
+		delete(earlier, load.Server)
 		load.Served += before.Served
 		load.Failed += before.Failed
 		load.Down = load.Down || before.Down
 		out.Servers = append(out.Servers, load)
 	}
 	for _, load := range first.Servers {
-		if left, ok := ended[load.Server]; ok && (left.Served > 0 || left.Failed > 0 || left.Down) {
+		if left, ok := earlier[load.Server]; ok && (left.Served > 0 || left.Failed > 0 || left.Down) {
 			out.Servers = append(out.Servers, placement.ServerLoad{
 				Server: left.Server, Served: left.Served, Failed: left.Failed, Down: left.Down,
 			})
