--- a/coordination/routing/domain.go
+++ b/coordination/routing/domain.go
@@ -10,18 +10,17 @@
 )
 
 const (
-	// domainGain is what another failure domain of the region has to be better by.
-	domainGain = 20 * time.Millisecond
-	// costGainFactor multiplies the gain that a spill needs under the cost
-	// policy: a request that leaves its region computes its prompt again.
+	// minDomainGain is by how much another failure domain of the region has to be better.
+	minDomainGain = 20 * time.Millisecond
+	// costGainFactor multiplies the gain that a spill needs under the cost policy: a request that
+	// leaves its region has its prompt computed again.
 	costGainFactor = 3
-	// stayDivisor lowers the gain that is needed to go on spilling. Without the
-	// gap requests alternate between regions at the threshold, and each side's
-	// caches lose.
-	stayDivisor = 2
-	// roomShare is the part of a domain's reported room that one instance uses
-	// before the next report: others see the same room at the same time.
-	roomShare = 4
+	// hysteresisDivisor lowers the gain that is needed to keep spilling. Without the
+	// hysteresis requests alternate between regions at the threshold, and the caches of both lose.
+	hysteresisDivisor = 2
+	// freeSlotsDivisor divides a domain's reported free slots into the part that one instance
+	// uses before the next report: other instances see the same free slots at the same time.
+	freeSlotsDivisor = 4
 )
 
 type sentKey struct {
@@ -34,9 +33,9 @@
 	bulk    bool
 }
 
-type sent struct {
-	report uint64
-	count  int
+type sentCount struct {
+	reportSeq uint64
+	count     int
 }
 
 // Router chooses failure domains for one instance. It is safe for concurrent use.
@@ -45,62 +44,62 @@
 
 	mu       sync.Mutex
 	spilling map[spillKey]bool
-	sent     map[sentKey]sent
+	sent     map[sentKey]sentCount
 }
 
 // NewRouter returns the router of an instance in a failure domain.
 func NewRouter(region, domain string) *Router {
-	return &Router{region: region, domain: domain, spilling: make(map[spillKey]bool), sent: make(map[sentKey]sent)}
+	return &Router{region: region, domain: domain, spilling: make(map[spillKey]bool), sent: make(map[sentKey]sentCount)}
 }
 
-// ChooseDomain returns where to run: own, one of others, or nil. A request
-// leaves its region only when the expected time won exceeds the service's
-// setting and the far side has said that it has room.
-func (t *Router) ChooseDomain(r *Request, own *Domain, others []Domain) *Domain {
+// ChooseDomain returns the domain to run in: local, one of others, or nil. A request leaves
+// its region only when the expected gain exceeds the service's setting and the remote domain
+// has reported that it accepts remote requests.
+func (t *Router) ChooseDomain(r *Request, local *Domain, others []Domain) *Domain {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	near, far := t.best(r, own, others, (*Router).hasRoom)
-	if near == nil && far == nil {
-		// No place has room to spare, which only holds back what could also run
-		// elsewhere. A request that may run in one other domain of the region
-		// waits in the queue there, which refuses it at once when it cannot make
-		// its waiting limit.
-		near, _ = t.best(r, own, others, nil)
+	sameRegion, remote := t.best(r, local, others, (*Router).accepts)
+	if sameRegion == nil && remote == nil {
+		// No domain has reported spare slots, which only keeps back what could also run
+		// elsewhere. A request that may run in one other domain of the region joins the
+		// queue there, which refuses it at once when it cannot start within its waiting
+		// limit.
+		sameRegion, _ = t.best(r, local, others, nil)
 	}
-	if near == nil && far == nil && !t.servedHere(r, own, others) {
-		far = t.refuge(r, others)
+	if sameRegion == nil && remote == nil && !t.hasLocalServers(r, local, others) {
+		remote = t.remoteFallback(r, others)
 	}
-	chosen := t.spill(r, near, far)
-	if chosen != nil && chosen != own {
-		t.count(r, chosen)
+	chosen := t.spill(r, sameRegion, remote)
+	if chosen != nil && chosen != local {
+		t.countSent(r, chosen)
 	}
 	return chosen
 }
 
-// best returns the best candidate in the own region and in the others. Other
-// domains have to pass the check of their room, if there is one.
-func (t *Router) best(r *Request, own *Domain, others []Domain, room func(*Router, *Request, *Domain) bool) (near, far *Domain) {
-	if t.candidate(r, own) {
-		near = own
+// best returns the best candidate in the local region and in the others. Other
+// domains have to pass the given check, if there is one.
+func (t *Router) best(r *Request, local *Domain, others []Domain, check func(*Router, *Request, *Domain) bool) (sameRegion, remote *Domain) {
+	if t.candidate(r, local) {
+		sameRegion = local
 	}
 	for i := range others {
 		d := &others[i]
-		if d.Name == t.domain || !t.candidate(r, d) || (room != nil && !room(t, r, d)) {
+		if d.Name == t.domain || !t.candidate(r, d) || (check != nil && !check(t, r, d)) {
 			continue
 		}
 		if d.Region == t.region {
-			near = t.better(r, near, d)
+			sameRegion = t.better(r, sameRegion, d)
 		} else {
-			far = t.better(r, far, d)
+			remote = t.better(r, remote, d)
 		}
 	}
-	return near, far
+	return sameRegion, remote
 }
 
-// servedHere tells whether the own region has servers for the request, be their
-// queues full or not.
-func (t *Router) servedHere(r *Request, own *Domain, others []Domain) bool {
-	if own.Servers > 0 && Allowed(r, own.Region, own.Name) {
+// hasLocalServers reports whether the local region has servers for the request, even if their
+// queues are full.
+func (t *Router) hasLocalServers(r *Request, local *Domain, others []Domain) bool {
+	if local.Servers > 0 && Allowed(r, local.Region, local.Name) {
 		return true
 	}
 	for i := range others {
@@ -112,48 +111,48 @@
 	return false
 }
 
-// refuge returns the far domain with the shortest wait for a request whose own
-// region has no servers. No gain is weighed and no room has to be spoken of: the
-// far queue refuses at once what it cannot start in time, and without this the
-// callers of a lost region are refused while others still have slots.
-func (t *Router) refuge(r *Request, others []Domain) *Domain {
+// remoteFallback returns the remote domain with the shortest wait for a request whose local
+// region has no servers. Neither a minimum gain nor reported free slots are required: the
+// remote queue refuses at once what it cannot start in time, and without the fallback callers
+// of a region without servers are refused while others still have free slots.
+func (t *Router) remoteFallback(r *Request, others []Domain) *Domain {
 	var best *Domain
 	for i := range others {
 		d := &others[i]
-		if d.Region == t.region || r.Hop >= MaxHops || r.Service.Spill.Disabled || !r.reaches(d) {
+		if d.Region == t.region || r.Hop >= MaxHops || r.Service.Spill.Disabled || !r.mayUse(d) {
 			continue
 		}
-		if best == nil || t.nearCost(r, d) < t.nearCost(r, best) {
+		if best == nil || t.domainCost(r, d) < t.domainCost(r, best) {
 			best = d
 		}
 	}
 	return best
 }
 
-// reaches tells whether the domain may run the request and did not fail it.
-func (r *Request) reaches(d *Domain) bool {
+// mayUse reports whether the domain may run the request and has not failed it.
+func (r *Request) mayUse(d *Domain) bool {
 	return d.Servers > 0 && Allowed(r, d.Region, d.Name) && !r.Exclude[d.Name] && !r.Exclude[d.PeerID]
 }
 
-// Designate returns the one instance that runs a suspected request. The
+// Designate returns the one instance that runs a request suspected of crashing servers. The
 // fingerprint chooses the failure domain, so that copies sent through several
 // instances meet; in the domain it is the same instance for all suspects, since
-// only one that has them all can keep them apart on its servers. Instances that
-// know the same members name the same one.
-func Designate(r *Request, fingerprint uint64, own *Domain, others []Domain) *Domain {
+// only one that has them all can keep them apart on its servers. Instances with the
+// same list of members choose the same one.
+func Designate(r *Request, fingerprint uint64, local *Domain, others []Domain) *Domain {
 	var chosen *Domain
 	consider := func(d *Domain) {
 		if !Allowed(r, d.Region, d.Name) || d.Servers == 0 || r.Exclude[d.PeerID] {
 			return
 		}
-		if d != own && r.Hop >= MaxHops || d.Region != own.Region && r.Service.Spill.Disabled {
+		if d != local && r.Hop >= MaxHops || d.Region != local.Region && r.Service.Spill.Disabled {
 			return
 		}
 		if chosen == nil || preferred(fingerprint, d, chosen) {
 			chosen = d
 		}
 	}
-	consider(own)
+	consider(local)
 	for i := range others {
 		consider(&others[i])
 	}
@@ -168,7 +167,7 @@
 }
 
 func (t *Router) candidate(r *Request, d *Domain) bool {
-	if !r.reaches(d) {
+	if !r.mayUse(d) {
 		return false
 	}
 	if d.Name == t.domain {
@@ -180,22 +179,22 @@
 	return d.Region == t.region || !r.Service.Spill.Disabled
 }
 
-func (t *Router) hasRoom(r *Request, d *Domain) bool {
-	return r.queue(d).AcceptsRemote && t.roomLeft(r, d)
+func (t *Router) accepts(r *Request, d *Domain) bool {
+	return r.queue(d).AcceptsRemote && t.slotsLeft(r, d)
 }
 
-// roomLeft counts what this instance sent since the domain's report: a report is
-// a second old, and a burst would otherwise go to one place as a whole.
-func (t *Router) roomLeft(r *Request, d *Domain) bool {
+// slotsLeft counts what this instance sent since the domain's last report: a report is
+// a second old, and otherwise a whole burst would go to one domain.
+func (t *Router) slotsLeft(r *Request, d *Domain) bool {
 	s := t.sent[sentKey{r.Service.Name, d.PeerID, r.Bulk}]
-	return s.report != d.ReportSeq || s.count < max(r.queue(d).FreeSlots/roomShare, 1)
+	return s.reportSeq != d.ReportSeq || s.count < max(r.queue(d).FreeSlots/freeSlotsDivisor, 1)
 }
 
-func (t *Router) count(r *Request, d *Domain) {
+func (t *Router) countSent(r *Request, d *Domain) {
 	key := sentKey{r.Service.Name, d.PeerID, r.Bulk}
 	s := t.sent[key]
-	if s.report != d.ReportSeq {
-		s = sent{report: d.ReportSeq}
+	if s.reportSeq != d.ReportSeq {
+		s = sentCount{reportSeq: d.ReportSeq}
 	}
 	s.count++
 	t.sent[key] = s
@@ -203,7 +202,7 @@
 
 // better returns the better of two candidates. Among instances of one domain it
 // is the one that the account's hash prefers, so that accounts spread over all
-// of them and each account's requests meet.
+// of them and the requests of one account go to the same instance.
 func (t *Router) better(r *Request, a, b *Domain) *Domain {
 	if a == nil {
 		return b
@@ -214,26 +213,26 @@
 		}
 		return a
 	}
-	if t.nearCost(r, b) < t.nearCost(r, a) {
+	if t.domainCost(r, b) < t.domainCost(r, a) {
 		return b
 	}
 	return a
 }
 
-func (t *Router) nearCost(r *Request, d *Domain) time.Duration {
+func (t *Router) domainCost(r *Request, d *Domain) time.Duration {
 	cost := r.queue(d).ExpectedWait + 2*d.LinkDelay
 	if d.Name != t.domain && d.Region == t.region {
-		cost += domainGain
+		cost += minDomainGain
 	}
 	return cost
 }
 
-func (t *Router) spill(r *Request, near, far *Domain) *Domain {
-	if near == nil {
-		return far
+func (t *Router) spill(r *Request, sameRegion, remote *Domain) *Domain {
+	if sameRegion == nil {
+		return remote
 	}
-	if far == nil {
-		return near
+	if remote == nil {
+		return sameRegion
 	}
 	key := spillKey{r.Service.Name, r.Bulk}
 	threshold := r.Service.Spill.Gain
@@ -241,14 +240,14 @@
 		threshold *= costGainFactor
 	}
 	if t.spilling[key] {
-		threshold /= stayDivisor
+		threshold /= hysteresisDivisor
 	}
-	spills := t.nearCost(r, near)-t.nearCost(r, far) > threshold
+	spills := t.domainCost(r, sameRegion)-t.domainCost(r, remote) > threshold
 	t.spilling[key] = spills
 	if spills {
-		return far
+		return remote
 	}
-	return near
+	return sameRegion
 }
 
 // affinity mixes two hashes (the finalizer of splitmix64).
--- a/coordination/routing/outlier.go
+++ b/coordination/routing/outlier.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	errorLimit     = 3    // failed requests in a row after which a server is set aside
-	slowOutlier    = 4.0  // latency factor against the median that sets a server aside
-	sampleWeight   = 0.1  // of one request in what is measured of a server
-	minFactor      = 0.25 // bounds of the latency factor: one odd sample does not shut a server out
-	maxFactor      = 8.0
-	ejectFor       = 5 * time.Second // doubles each time
-	maxEjectFor    = time.Minute
-	maxEjectDouble = 4
+	consecutiveErrorLimit = 3    // consecutive failed requests after which a server is ejected
+	outlierFactor         = 4.0  // latency factor relative to the median from which a server is ejected
+	sampleWeight          = 0.1  // of one request in the measurements of a server
+	minLatencyFactor      = 0.25 // bounds of a sample: one outlier does not exclude a server
+	maxLatencyFactor      = 8.0
+	baseEjection          = 5 * time.Second // doubles with each ejection
+	maxEjection           = time.Minute
+	maxEjectionDoublings  = 4
 )
 
-// RecordFailure takes in a failed request and sets the server aside when it is one of
-// several in a row. It tells whether it did.
+// RecordFailure records a failed request and ejects the server after several consecutive
+// ones. It reports whether it did.
 func RecordFailure(table *servers.Table, e *servers.Entry, now time.Time) bool {
-	if e.RecordError() < errorLimit {
+	if e.RecordError() < consecutiveErrorLimit {
 		return false
 	}
 	return eject(table, e.View(), now)
 }
 
-// RecordResponse takes in an answer: the time to the first token, the one that was
-// expected of it, and how long the request lasted.
+// RecordResponse records a response: the time to the first token, the expected one, and the
+// duration of the request.
 func RecordResponse(e *servers.Entry, latency, expected, duration time.Duration) {
 	e.RecordSuccess()
 	v := e.View()
@@ -38,13 +38,13 @@
 	}
 	factor := v.LatencyFactor
 	if expected > 0 {
-		sample := min(max(float64(latency)/float64(expected), minFactor), maxFactor)
+		sample := min(max(float64(latency)/float64(expected), minLatencyFactor), maxLatencyFactor)
 		factor += sampleWeight * (sample - factor)
 	}
 	e.SetMeasurements(mean, factor)
 }
 
-// EjectSlow sets aside the servers of a service that are much slower than the median.
+// EjectSlow ejects the servers of a service that are much slower than the median.
 func EjectSlow(table *servers.Table, service string, now time.Time) {
 	list := table.Entries(service)
 	factors := make([]float64, 0, len(list))
@@ -60,13 +60,13 @@
 	median := factors[len(factors)/2]
 	for _, e := range list {
 		v := e.View()
-		if v.Usable() && !v.Ejected(now) && v.LatencyFactor > slowOutlier*median && eject(table, v, now) {
-			e.SetMeasurements(v.MeanDuration, median) // it comes back with a clean sheet and is judged anew
+		if v.Usable() && !v.Ejected(now) && v.LatencyFactor > outlierFactor*median && eject(table, v, now) {
+			e.SetMeasurements(v.MeanDuration, median) // it returns with the median and is measured anew
 		}
 	}
 }
 
 func eject(table *servers.Table, v *servers.Server, now time.Time) bool {
-	pause := min(ejectFor<<min(v.Ejections, maxEjectDouble), maxEjectFor)
-	return table.Eject(v.Service, v.ID, now, now.Add(pause))
+	duration := min(baseEjection<<min(v.Ejections, maxEjectionDoublings), maxEjection)
+	return table.Eject(v.Service, v.ID, now, now.Add(duration))
 }
--- a/coordination/routing/routing.go
+++ b/coordination/routing/routing.go
@@ -1,7 +1,7 @@
 // Package routing chooses where a request runs: first the failure domain, then
-// the backend server in it. Nothing gets past the filter of residency and hops.
+// the backend server in it. Every choice passes the filter of data residency and hops.
 //
-// The package does no I/O; the time and the random source are handed in.
+// The package does no I/O; the time and the random source are passed in.
 package routing
 
 import (
@@ -14,15 +14,15 @@
 // MaxHops is how often a request may be forwarded between instances.
 const MaxHops = 1
 
-// Domain is what is known of a failure domain for one service. A far domain
-// stands once for each of its instances.
+// Domain is the state of a failure domain for one service. A remote domain is listed once
+// for each of its instances.
 type Domain struct {
 	Name        string
 	Region      string
-	PeerAddress string // peer address of the instance to forward to; empty for the own domain
+	PeerAddress string // peer address of the instance to forward to; empty for the local domain
 	PeerID      string
 	PeerHash    uint64 // of PeerID
-	ReportSeq   uint64 // number of the report that the load is from
+	ReportSeq   uint64 // number of the load report that the load is from
 	Servers     int
 	InFlight    int
 	LinkDelay   time.Duration // one way
@@ -30,7 +30,7 @@
 	Bulk        Queue
 }
 
-// Queue is how a class of requests stands in a failure domain.
+// Queue is the state of a class of requests in a failure domain.
 type Queue struct {
 	ExpectedWait  time.Duration
 	AcceptsRemote bool
@@ -45,7 +45,7 @@
 	return &d.Interactive
 }
 
-// Request is what routing needs to know of a request.
+// Request holds what routing needs to know of a request.
 type Request struct {
 	Service      *service.Service
 	Account      uint64 // hash of the account's name
@@ -57,7 +57,7 @@
 	Exclude      map[string]bool // peers, domains and servers that failed or refused this request
 }
 
-// Allowed tells whether the request may run in the failure domain at all.
+// Allowed reports whether the request may run in the failure domain at all.
 func Allowed(r *Request, region, domain string) bool {
 	if r.HomeRegion != "" && r.HomeRegion != region {
 		return false
--- a/coordination/routing/routing_test.go
+++ b/coordination/routing/routing_test.go
@@ -18,8 +18,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// fill lists n servers in a failure domain that started long ago and report.
-func fill(n int) *servers.Table {
+// newTable lists n servers in a failure domain that started long ago and report their load.
+func newTable(n int) *servers.Table {
 	table := servers.New()
 	var list []servers.Identity
 	for i := range n {
@@ -45,8 +45,8 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// chosen counts what 1000 choices fall on.
-func chosen(r *Request, table *servers.Table, now time.Time) map[string]int {
+// countChoices counts which servers 1000 choices return.
+func countChoices(r *Request, table *servers.Table, now time.Time) map[string]int {
 	list, random, counts := table.Entries(model), rng(), make(map[string]int)
 	for range 1000 {
 		if i := ChooseServer(r, list, now, random); i >= 0 {
@@ -59,53 +59,53 @@
 // A caller's long prompt goes where most of it is cached, and elsewhere once
 // that server's queue costs more than computing the prompt again.
 func TestCachedPromptAgainstQueue(t *testing.T) {
-	table := fill(6)
+	table := newTable(6)
 	r := request()
 	index := prefix.New("suva-a")
 	blocks := tokens.AppendBlocks(nil, string(make([]byte, 4000*4)))
 	index.RecordDispatch(table.Entry(model, "s002").Slot(), "", blocks)
 	r.CachedBlocks = &prefix.Matches{}
 	index.Match(blocks, "", r.CachedBlocks)
-	if got := chosen(r, table, start)["s002"]; got != 1000 {
+	if got := countChoices(r, table, start)["s002"]; got != 1000 {
 		t.Errorf("the server with the cached prompt was chosen %d of 1000 times", got)
 	}
 	report(table, "s002", servers.Load{Running: 4, DecodeRate: 400, PrefillRate: 20000, WaitingTokens: 30000})
-	if got := chosen(r, table, start)["s002"]; got != 0 {
+	if got := countChoices(r, table, start)["s002"]; got != 0 {
 		t.Errorf("the server with 1.5 s of prompts waiting was chosen %d times", got)
 	}
-	if got := chosen(r, table, start.Add(time.Minute))["s002"]; got != 1000 {
+	if got := countChoices(r, table, start.Add(time.Minute))["s002"]; got != 1000 {
 		t.Errorf("a report of a minute ago still keeps requests away: chosen %d times", got)
 	}
 }
 
-// A server that fails its requests is set aside while its polls succeed; when
-// all fail, never more than half of them are.
-func TestFailingServersAreSetAside(t *testing.T) {
-	table := fill(6)
+// A server that fails its requests is ejected although its polls succeed; when
+// all fail, at most half of them are ejected.
+func TestFailingServersAreEjected(t *testing.T) {
+	table := newTable(6)
 	now := start
 	for _, id := range []string{"s000", "s001", "s002", "s003", "s004"} {
-		for range errorLimit {
+		for range consecutiveErrorLimit {
 			RecordFailure(table, table.Entry(model, id), now)
 		}
 	}
-	counts := chosen(request(), table, now)
+	counts := countChoices(request(), table, now)
 	for _, id := range []string{"s000", "s001", "s002"} {
 		if counts[id] > 0 {
 			t.Errorf("%s fails every request and was chosen %d times", id, counts[id])
 		}
 	}
 	if counts["s003"] == 0 || counts["s005"] == 0 {
-		t.Errorf("more than half are set aside: %v", counts)
+		t.Errorf("more than half are ejected: %v", counts)
 	}
-	if later := chosen(request(), table, now.Add(ejectFor)); later["s000"] == 0 {
-		t.Error("a server that was set aside is not tried again")
+	if later := countChoices(request(), table, now.Add(baseEjection)); later["s000"] == 0 {
+		t.Error("a server is not used again after its ejection")
 	}
 }
 
-// Leaving, unknown and slow-started servers, full ones and those of a version
-// that is not allowed get nothing, or less.
+// Leaving, full and just started servers, and those of a version that is not allowed,
+// get no requests or fewer.
 func TestServersThatMayNotServe(t *testing.T) {
-	table := fill(4)
+	table := newTable(4)
 	report(table, "s000", servers.Load{Leaving: true})
 	table.Entry(model, "s001").SetLimit(0, 0)
 	table.Replace([]servers.Identity{
@@ -116,87 +116,88 @@
 	}, start)
 	r := request()
 	r.Service.Versions = []string{"v1"}
-	if counts := chosen(r, table, start); counts["s003"] != 1000 {
+	if counts := countChoices(r, table, start); counts["s003"] != 1000 {
 		t.Errorf("chosen: %v", counts)
 	}
 }
 
-func far(peer string, wait time.Duration, room bool) Domain {
+func remoteDomain(peer string, wait time.Duration, acceptsRemote bool) Domain {
 	return Domain{
 		Name: "labasa-a-1", Region: "labasa-a", PeerAddress: "192.0.2.1:1", PeerID: peer, ReportSeq: 1,
-		Servers: 3, LinkDelay: 80 * time.Millisecond, Interactive: Queue{AcceptsRemote: room, FreeSlots: 100, ExpectedWait: wait},
+		Servers: 3, LinkDelay: 80 * time.Millisecond, Interactive: Queue{AcceptsRemote: acceptsRemote, FreeSlots: 100, ExpectedWait: wait},
 	}
 }
 
-func near(wait time.Duration) *Domain {
+func localDomain(wait time.Duration) *Domain {
 	return &Domain{Name: "suva-a-1", Region: "suva-a", Servers: 3, Interactive: Queue{AcceptsRemote: true, ExpectedWait: wait}}
 }
 
-// Requests leave the region when that wins more than the setting, and then go on
-// to until it wins less than half of it. They do not leave without the far
-// side's word, nor in a burst beyond the room that it spoke of.
+// Requests leave the region when the gain exceeds the setting, and continue to do so until it
+// falls below half of it. They do not leave unless the remote domain reports that it accepts
+// remote requests, nor in a burst that exceeds the free slots it reported.
 func TestSpill(t *testing.T) {
 	router := NewRouter("suva-a", "suva-a-1")
 	r := request()
 	spills := func(wait time.Duration, d Domain) bool {
-		return router.ChooseDomain(r, near(wait), []Domain{d}).Region == "labasa-a"
+		return router.ChooseDomain(r, localDomain(wait), []Domain{d}).Region == "labasa-a"
 	}
 	for _, step := range []struct {
-		wait time.Duration
-		room bool
-		want bool
+		wait    time.Duration
+		accepts bool
+		want    bool
 	}{
-		{400 * time.Millisecond, true, false}, // wins 240 ms
-		{420 * time.Millisecond, true, true},  // wins 260 ms
-		{300 * time.Millisecond, true, true},  // wins 140 ms: goes on
-		{280 * time.Millisecond, true, false}, // wins 120 ms
-		{300 * time.Millisecond, true, false}, // 140 ms is not enough to begin
+		{400 * time.Millisecond, true, false}, // gain 240 ms
+		{420 * time.Millisecond, true, true},  // gain 260 ms
+		{300 * time.Millisecond, true, true},  // gain 140 ms: continues to spill
+		{280 * time.Millisecond, true, false}, // gain 120 ms
+		{300 * time.Millisecond, true, false}, // 140 ms is not enough to begin spilling
 		{5 * time.Second, false, false},
 	} {
-		if got := spills(step.wait, far("p", 0, step.room)); got != step.want {
-			t.Errorf("local wait %s, room %t: spilled %t", step.wait, step.room, got)
+		if got := spills(step.wait, remoteDomain("p", 0, step.accepts)); got != step.want {
+			t.Errorf("local wait %s, remote accepts %t: spilled %t", step.wait, step.accepts, got)
 		}
 	}
 	sent := 0
-	burst := far("q", 0, true)
+	burst := remoteDomain("q", 0, true)
 	burst.ReportSeq, burst.Interactive.FreeSlots = 2, 40
 	for range 100 {
 		if spills(5*time.Second, burst) {
 			sent++
 		}
 	}
-	if sent != 40/roomShare {
-		t.Errorf("%d of a burst were sent on one report of room for 40", sent)
+	if sent != 40/freeSlotsDivisor {
+		t.Errorf("%d of a burst were sent on one report of 40 free slots", sent)
 	}
 }
 
-// A region lost its servers. Its callers are served by another region that has
-// slots but has not spoken of room; with servers at home, only full, they stay.
-func TestLostRegionFindsRefuge(t *testing.T) {
+// A region lost its servers. Its callers are served by another region that has slots
+// but has not reported that it accepts remote requests. When the local region has servers,
+// even full ones, its requests stay.
+func TestRegionWithoutServersFallsBack(t *testing.T) {
 	router := NewRouter("suva-a", "suva-a-1")
 	r := request()
-	others := []Domain{far("p", 2*time.Second, false), far("q", time.Second, false)}
-	lost := near(0)
-	lost.Servers = 0
-	if d := router.ChooseDomain(r, lost, others); d == nil || d.PeerID != "q" {
-		t.Errorf("a lost region's request went to %+v", d)
+	others := []Domain{remoteDomain("p", 2*time.Second, false), remoteDomain("q", time.Second, false)}
+	withoutServers := localDomain(0)
+	withoutServers.Servers = 0
+	if d := router.ChooseDomain(r, withoutServers, others); d == nil || d.PeerID != "q" {
+		t.Errorf("a request of a region without servers went to %+v", d)
 	}
 	r.Exclude = map[string]bool{"suva-a-1": true}
-	if d := router.ChooseDomain(r, near(time.Second), others); d != nil {
+	if d := router.ChooseDomain(r, localDomain(time.Second), others); d != nil {
 		t.Errorf("a request that its own region's queue refused went to %+v", d)
 	}
 	r.Hop = MaxHops
-	if d := router.ChooseDomain(r, lost, others); d != nil {
+	if d := router.ChooseDomain(r, withoutServers, others); d != nil {
 		t.Errorf("a forwarded request went to %+v", d)
 	}
 }
 
-// Several accounts use several instances of a far domain, each account one.
+// Several accounts use several instances of a remote domain, each account one of them.
 func TestAccountsSpreadOverPeers(t *testing.T) {
 	router := NewRouter("suva-a", "suva-a-1")
 	var others []Domain
 	for i := range 4 {
-		d := far(fmt.Sprint("p", i), 0, true)
+		d := remoteDomain(fmt.Sprint("p", i), 0, true)
 		d.PeerHash, d.Interactive.FreeSlots = uint64(i+1)*0x9e3779b97f4a7c15, 1<<20
 		others = append(others, d)
 	}
@@ -204,8 +205,8 @@
 	for account := range 200 {
 		r := request()
 		r.Account = uint64(account)
-		first := router.ChooseDomain(r, near(5*time.Second), others).PeerID
-		if again := router.ChooseDomain(r, near(5*time.Second), others).PeerID; again != first {
+		first := router.ChooseDomain(r, localDomain(5*time.Second), others).PeerID
+		if again := router.ChooseDomain(r, localDomain(5*time.Second), others).PeerID; again != first {
 			t.Fatalf("account %d went to %s and %s", account, first, again)
 		}
 		used[first]++
@@ -217,9 +218,9 @@
 	}
 }
 
-// Whatever is known of loads, rooms and refusals: a request with a home goes to
+// Whatever the loads, free slots and refusals: a request with a home region goes to
 // no other region, a forwarded one to no other domain, and a service stays where
-// its document lets it run. This holds for suspected requests as well.
+// its document allows it to run. This also holds for suspected requests.
 func TestNothingPassesTheFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := []string{"suva-a", "labasa-a", "lakeba-a"}
@@ -229,7 +230,7 @@
 		r.Hop = rapid.IntRange(0, MaxHops).Draw(t, "hop")
 		r.Service.Regions = rapid.SliceOfN(rapid.SampledFrom(regions), 0, 2).Draw(t, "regions")
 		r.Service.Spill.Disabled = rapid.Bool().Draw(t, "disabled")
-		own := Domain{Name: "own", Region: region("own"), Servers: rapid.IntRange(0, 1).Draw(t, "servers"), Interactive: Queue{AcceptsRemote: true,
+		local := Domain{Name: "own", Region: region("own"), Servers: rapid.IntRange(0, 1).Draw(t, "servers"), Interactive: Queue{AcceptsRemote: true,
 			ExpectedWait: time.Duration(rapid.IntRange(0, 9000).Draw(t, "wait")) * time.Millisecond}}
 		var others []Domain
 		for i := range rapid.IntRange(0, 6).Draw(t, "others") {
@@ -237,33 +238,33 @@
 			others = append(others, Domain{Name: at + "-1", Region: at, PeerID: fmt.Sprint(i), PeerAddress: "x",
 				Servers: 1, Interactive: Queue{AcceptsRemote: rapid.Bool().Draw(t, "room"), FreeSlots: 8}})
 		}
-		router := NewRouter(own.Region, own.Name)
-		for _, d := range []*Domain{router.ChooseDomain(r, &own, others), Designate(r, 7, &own, others)} {
+		router := NewRouter(local.Region, local.Name)
+		for _, d := range []*Domain{router.ChooseDomain(r, &local, others), Designate(r, 7, &local, others)} {
 			if d == nil {
 				continue
 			}
-			if d.Region != own.Region && r.Service.Spill.Disabled {
-				t.Fatalf("left the region although the service's document forbids it")
+			if d.Region != local.Region && r.Service.Spill.Disabled {
+				t.Fatalf("spilled although the service's document forbids it")
 			}
 			if r.HomeRegion != "" && d.Region != r.HomeRegion {
-				t.Fatalf("home %s, sent to %s", r.HomeRegion, d.Region)
+				t.Fatalf("home region %s, sent to %s", r.HomeRegion, d.Region)
 			}
 			if !r.Service.AllowsRegion(d.Region) {
 				t.Fatalf("the service may not run in %s", d.Region)
 			}
-			if r.Hop >= MaxHops && d.Name != own.Name {
+			if r.Hop >= MaxHops && d.Name != local.Name {
 				t.Fatalf("forwarded twice, to %s", d.Name)
 			}
 		}
 	})
 }
 
-// BenchmarkSizeChooseServer is the decision by the number of servers, with a
+// BenchmarkSizeChooseServer measures the choice by the number of servers, with a
 // prompt of which some is cached.
 func BenchmarkSizeChooseServer(b *testing.B) {
 	for _, n := range []int{15, 30, 60, 120, 240} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			table := fill(n)
+			table := newTable(n)
 			r := request()
 			index := prefix.New("suva-a")
 			blocks := tokens.AppendBlocks(nil, string(make([]byte, 4000*4)))
@@ -281,19 +282,19 @@
 	}
 }
 
-// BenchmarkSizeChooseDomain is the decision by the number of other instances.
+// BenchmarkSizeChooseDomain measures the choice by the number of other instances.
 func BenchmarkSizeChooseDomain(b *testing.B) {
 	for _, n := range []int{15, 30, 60, 120, 240} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			router := NewRouter("suva-a", "suva-a-1")
 			var others []Domain
 			for i := range n {
-				others = append(others, far(fmt.Sprint(i), 0, i%2 == 0))
+				others = append(others, remoteDomain(fmt.Sprint(i), 0, i%2 == 0))
 			}
 			r := request()
 			b.ReportAllocs()
 			for b.Loop() {
-				router.ChooseDomain(r, near(0), others)
+				router.ChooseDomain(r, localDomain(0), others)
 			}
 		})
 	}
--- a/coordination/routing/server.go
+++ b/coordination/routing/server.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	defaultPrefillRate = 10000.0 // prompt tokens per second, until a server reports its own
-	fadeAfter          = 2e9     // nanoseconds of age at which a report counts half
-	warmUp             = 10e9    // nanoseconds after a start, while caches are cold
-	warmUpPenalty      = 0.1     // seconds, of a server that has just started
-	nearBestFactor     = 1.2     // costs up to so much above the best are as good
-	nearBestSlack      = 0.005   // seconds, the same
-	scratchServers     = 256
-
-	// perRequest is what each running request counts, in seconds: more than the
-	// step it lengthens, because a request that finds the batch full waits until
-	// one of them ends, and reports do not say how large the batch is.
-	perRequest = 0.020
-	// prefillFactor is the weight of prompt tokens that have to be computed. They
-	// hold up every request in the batch and not only their own, so a server with
-	// the prefix in its cache is worth a longer wait.
+	defaultPrefillRate   = 10000.0 // prompt tokens per second, until a server reports its own
+	reportHalfWeightAge  = 2e9     // age in nanoseconds at which a report counts half
+	warmUpNanos          = 10e9    // time after a start while caches are cold
+	warmUpPenaltySeconds = 0.1     // of a server that has just started
+	nearBestFactor       = 1.2     // costs up to this factor above the best count as equal
+	nearBestSlackSeconds = 0.005   // likewise, in addition to the factor
+	scratchServers       = 256
+
+	// perRequestSeconds is the expected delay by each running request: more than the time by
+	// which it lengthens a step, because a request that finds the batch full waits until one of
+	// them ends, and reports do not say how large the batch is.
+	perRequestSeconds = 0.020
+	// prefillFactor is the weight of prompt tokens that have to be computed. They delay every
+	// request in the batch and not only their own, so that a server with the prefix in its cache
+	// is worth a longer wait.
 	prefillFactor = 3.0
 	// costPrefillFactor is the same under the cost policy.
 	costPrefillFactor = 4.0
@@ -33,7 +33,7 @@
 
 // ChooseServer returns the index of the server to run on, or -1. It scores every
 // usable server by the expected time to the first token and takes the less
-// loaded of two that it draws among the best: instances that know the same
+// loaded of two that it draws among the best: instances with the same state
 // would otherwise all send to the same server.
 func ChooseServer(r *Request, list []*servers.Entry, now time.Time, rng *rand.Rand) int {
 	var scratch [scratchServers]float64
@@ -44,31 +44,31 @@
 	s := scorer{request: r, now: now.UnixNano()}
 	best := s.score(list, costs)
 	if s.ejected*2 > s.usable {
-		// Others left since. A service whose servers are all slow is better
-		// served slowly than not at all.
+		// More than half of the usable servers are ejected, since others have left meanwhile.
+		// A service whose servers are all slow is better served slowly than not at all.
 		s.ignoreEjected = true
 		best = s.score(list, costs)
 	}
 	if math.IsInf(best, 1) {
-		s.full = true
+		s.includeFull = true
 		best = s.score(list, costs)
 	}
 	if math.IsInf(best, 1) {
 		return -1
 	}
-	return draw(list, costs[:len(list)], best*nearBestFactor+nearBestSlack, rng)
+	return drawLeastLoaded(list, costs[:len(list)], best*nearBestFactor+nearBestSlackSeconds, rng)
 }
 
 type scorer struct {
 	request         *Request
 	now             int64
 	ignoreEjected   bool
-	full            bool // servers at their limit count
+	includeFull     bool // servers at their limit count too
 	usable, ejected int
 }
 
-// score fills in the costs and returns the lowest; a server that may not be
-// used costs infinity.
+// score sets the costs and returns the lowest; a server that may not be
+// used has infinite cost.
 func (s *scorer) score(list []*servers.Entry, costs []float64) float64 {
 	best := math.Inf(1)
 	s.usable, s.ejected = 0, 0
@@ -86,7 +86,7 @@
 				continue
 			}
 		}
-		if (!s.full && s.request.full(e)) || !s.request.permits(v) {
+		if (!s.includeFull && s.request.full(e)) || !s.request.permits(v) {
 			continue
 		}
 		costs[i] = s.cost(e, f)
@@ -95,7 +95,7 @@
 	return best
 }
 
-// full tells whether the server is at the limit for requests of this kind.
+// full reports whether the server is at the limit for requests of this kind.
 func (r *Request) full(e *servers.Entry) bool {
 	if r.Bulk {
 		return e.InFlight() >= e.Limit() || e.Bulk() >= e.BulkLimit()
@@ -110,14 +110,14 @@
 	return r.Service.AllowsVersion(v.Version) && Allowed(r, v.Region, v.Domain)
 }
 
-// ExpectedFirstToken is the time to the first token that a server should need for the
-// request, by its reports alone.
+// ExpectedFirstToken returns the expected time to the first token at a server, by its load
+// reports alone.
 func ExpectedFirstToken(r *Request, e *servers.Entry, now time.Time) time.Duration {
 	s := scorer{request: r, now: now.UnixNano()}
 	return time.Duration(s.expected(e, e.View().Facts()) * float64(time.Second))
 }
 
-// UnloadedFirstToken is the time to the first token without the requests ahead of it.
+// UnloadedFirstToken returns the time to the first token without the requests ahead of it.
 func UnloadedFirstToken(r *Request, e *servers.Entry) time.Duration {
 	f := e.View().Facts()
 	seconds := float64(r.UncachedTokens(e))/prefillRate(f) + f.StepTime
@@ -132,14 +132,14 @@
 }
 
 func (s *scorer) expected(e *servers.Entry, f *servers.Facts) float64 {
-	fade := fadeAfter / (fadeAfter + max(float64(s.now-f.ReportedAt), 0))
-	tokens := fade*f.WaitingTokens + float64(e.PendingTokens()+s.request.UncachedTokens(e))
-	requests := fade*f.OtherRequests + float64(e.InFlight())
-	return tokens/prefillRate(f) + requests*perRequest + fade*f.QueueDrainTime + f.StepTime
+	weight := reportHalfWeightAge / (reportHalfWeightAge + max(float64(s.now-f.ReportedAt), 0))
+	tokens := weight*f.WaitingTokens + float64(e.PendingTokens()+s.request.UncachedTokens(e))
+	requests := weight*f.OtherRequests + float64(e.InFlight())
+	return tokens/prefillRate(f) + requests*perRequestSeconds + weight*f.QueueDrainTime + f.StepTime
 }
 
-// cost is the expected time to the first token in seconds, corrected by what
-// was measured, and what the policy adds.
+// cost returns the expected time to the first token in seconds, corrected by the measured
+// latency factor, and what the policy adds.
 func (s *scorer) cost(e *servers.Entry, f *servers.Facts) float64 {
 	weight := prefillFactor
 	if s.request.Service.Policy == service.PolicyCost {
@@ -147,8 +147,8 @@
 	}
 	cost := s.expected(e, f) * f.FirstTokenFactor
 	cost += (weight - 1) * float64(s.request.UncachedTokens(e)) / prefillRate(f)
-	if up := float64(s.now - f.Since); up < warmUp {
-		cost += warmUpPenalty * (1 - up/warmUp)
+	if uptime := float64(s.now - f.Since); uptime < warmUpNanos {
+		cost += warmUpPenaltySeconds * (1 - uptime/warmUpNanos)
 	}
 	return cost
 }
@@ -162,13 +162,13 @@
 	return max(r.PromptTokens-cached, 0)
 }
 
-// Permitted tells whether the request may run on the server now.
+// Permitted reports whether the request may run on the server now.
 func Permitted(r *Request, e *servers.Entry, now time.Time) bool {
 	v := e.View()
 	return v.Usable() && !v.Ejected(now) && r.permits(v)
 }
 
-func draw(list []*servers.Entry, costs []float64, limit float64, rng *rand.Rand) int {
+func drawLeastLoaded(list []*servers.Entry, costs []float64, limit float64, rng *rand.Rand) int {
 	first, second, count := -1, -1, 0
 	for i, cost := range costs {
 		if cost > limit {
