--- a/coordination/placement/bench_test.go
+++ b/coordination/placement/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // One choice over the servers of a region, with its first byte and its end, while twelve
-// other instances tell their load at each. The figure is ns/op; a choice has to stay under
+// other instances report load at each server. The figure is ns/op; a choice has to stay under
 // 20 microseconds at 120 servers.
 func BenchmarkSizePlace(b *testing.B) {
 	for _, n := range []int{15, 30, 60, 120} {
@@ -29,7 +29,7 @@
 			}
 			b.ReportAllocs()
 			for i := range b.N {
-				pl := p.Place(prompt(uint64(i%100), 500), start).Placement
+				pl := p.Place(newPrompt(uint64(i%100), 500), start).Placement
 				p.RecordFirstByte(pl, start.Add(50*time.Millisecond))
 				p.Done(pl, OutcomeServed, start.Add(time.Second))
 			}
--- a/coordination/placement/fetch.go
+++ b/coordination/placement/fetch.go
@@ -2,18 +2,18 @@
 
 import "github.com/basilroute/basilroute/service/features"
 
-// holder returns the server that holds most of the prompt, and how much.
-func (p *Pool) holder(w *Request, aside map[*server]bool) (*server, int) {
-	if p.settings.FetchSecondsPerToken <= 0 || len(w.Segments) == 0 || !p.on(features.Fetch) {
+// cacheHolder returns the server that has most of the prompt cached, and how many tokens.
+func (p *Pool) cacheHolder(r *Request, ejected map[*server]bool) (*server, int) {
+	if p.settings.FetchSecondsPerToken <= 0 || len(r.Segments) == 0 || !p.enabled(features.Fetch) {
 		return nil, 0
 	}
 	var best *server
 	held := 0
 	for _, s := range p.servers {
-		if aside[s] {
+		if ejected[s] {
 			continue
 		}
-		if n := s.cache.match(w.Segments); n > held {
+		if n := s.cache.match(r.Segments); n > held {
 			best, held = s, n
 		}
 	}
@@ -21,36 +21,37 @@
 }
 
 const (
-	// leastFetch is the least number of tokens that is worth fetching: the fetch's own
-	// beginning takes as long as reading a hundred.
-	leastFetch = 500
-	// fetchSetup is how long a fetch takes beside its bytes, in seconds.
-	fetchSetup = 0.003
-	// fetchWeight is the cost of a fetched token in read ones: moving it costs a sixth
-	// of reading it again by the first deployments' prices, and holds up nobody.
+	// minFetchTokens is the least number of tokens that are worth fetching: the setup of a fetch
+	// takes as long as computing a hundred.
+	minFetchTokens = 500
+	// fetchSetupSeconds is how long a fetch takes apart from its bytes.
+	fetchSetupSeconds = 0.003
+	// fetchWeight is the cost of a fetched token relative to a computed one: moving it costs a
+	// sixth of recomputing it by the prices of the first deployments, and delays no other request.
 	fetchWeight = 0.17
 )
 
-// fetch lets the candidate fetch what another server holds beyond it, where that is
-// faster than reading it.
-func (p *Pool) fetch(c *candidate, holder *server, held int) {
+// applyLocalFetch lets the candidate fetch the tokens that another server of the region has
+// cached beyond its own, where that is faster than computing them.
+func (p *Pool) applyLocalFetch(c *candidate, holder *server, held int) {
 	gain := float64(held - c.cached)
-	if holder == nil || gain < leastFetch {
+	if holder == nil || gain < minFetchTokens {
 		return
 	}
-	p.fetchFrom(c, holder.Address, gain, p.settings.FetchSecondsPerToken)
+	p.applyFetch(c, holder.Address, gain, p.settings.FetchSecondsPerToken)
 }
 
-// fetchFrom lets the candidate fetch some tokens, each in a time, in seconds.
-func (p *Pool) fetchFrom(c *candidate, address string, tokens, each float64) {
-	read := tokens / p.readRate
-	moved := fetchSetup + tokens*each
-	if moved >= read {
+// applyFetch corrects the candidate's cost for a fetch, if it is faster than computing the
+// tokens.
+func (p *Pool) applyFetch(c *candidate, address string, tokens, secondsPerToken float64) {
+	prefillTime := tokens / p.prefillRate
+	fetchTime := fetchSetupSeconds + tokens*secondsPerToken
+	if fetchTime >= prefillTime {
 		return
 	}
 	c.fetchFrom = address
-	c.unread -= tokens
-	c.expected += (moved - read) * c.pace
-	c.own += (moved - read) * c.pace
-	c.cost += (moved-read)*c.pace - (readWeight-1)*read + fetchWeight*read
+	c.uncached -= tokens
+	c.firstByteSeconds += (fetchTime - prefillTime) * c.latencyFactor
+	c.ownSeconds += (fetchTime - prefillTime) * c.latencyFactor
+	c.cost += (fetchTime-prefillTime)*c.latencyFactor - (prefillWeight-1)*prefillTime + fetchWeight*prefillTime
 }
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,27 +1,26 @@
-// Package placement chooses the backend server of a request, or refuses it.
+// Package placement chooses the backend server of a request, or refuses the request.
 //
-// # The load that it answers
+// # Workload
 //
-// Most of a prompt is shared with other requests, and reading it again costs an
-// engine ten times what the request's own part costs. Each region's peak is more
-// than twice its mean and more than its servers can read cold; with shared parts
-// in the right caches the same servers carry it. So a prompt's shared parts belong
-// to one server of the region, chosen by rendezvous hashing, which all instances
-// agree on without a word between them and which moves only the prompts of a
-// server that is lost. Load breaks the tie: each server has an expected time to the
-// first byte, and a prompt leaves its server when another would answer sooner
-// although it has to read everything.
+// Most of a prompt is shared with other requests, and recomputing the shared segments costs
+// an engine ten times what the request's own segment costs. The traffic spike of each region
+// is more than twice its mean rate and more than its servers can prefill without their
+// caches; with the shared segments in the right caches the same servers carry it. Rendezvous
+// hashing therefore assigns a prompt's shared segments to one preferred server of the region.
+// All instances agree on it without exchanging messages, and losing a server moves only the
+// prompts of that server. Load overrides the preference: each server has an expected time to
+// the first byte, and a prompt goes to another server when that one would respond sooner
+// although it has to compute the whole prompt.
 //
-// # Why nothing waits here
+// # No queue in front of the engines
 //
-// An engine reads prompts in the order of their urgency. Waiting in front of it
-// gains nothing: the expected time falls by at most a second a second, and so
-// does what is left of the objective. A request that cannot be answered within
-// its objective now cannot be so later either, and the caller is told at once
-// when a request like it would be. Late ones are taken while the backlog is
-// short enough that they still end before their deadline.
+// An engine prefills prompts in the order of their urgency, so that queueing in front of it
+// gains nothing: the expected time falls by at most one second per second, and so does the
+// time left of the objective. A request that cannot be answered within its objective now
+// cannot be later either, and its caller is told at once when to retry. Late requests are
+// accepted while the backlog is short enough for them to end before their deadline.
 //
-// The package does no I/O. All times come in with each call.
+// The package does no I/O. The current time is passed to each call.
 package placement
 
 import (
@@ -36,174 +35,176 @@
 	"github.com/basilroute/basilroute/state/backends"
 )
 
-// Settings of a pool.
+// Settings configures a Pool.
 type Settings struct {
 	Engine               bool    // servers are model engines
-	Slots                int     // requests that a server runs at once; used when an entry does not say
-	CacheTokens          int     // prompt capacity of an engine
-	FetchSecondsPerToken float64 // seconds for which a server fetches one cached token from another; 0 when they move none
-	ColdRate             float64 // requests per second of a cold server over all instances; 0 for no limit
+	Slots                int     // requests that a server runs at once; used when its entry does not say
+	CacheTokens          int     // prompt capacity of an engine's cache
+	FetchSecondsPerToken float64 // time in which a server fetches one cached token from another; 0 when servers do not exchange them
+	ColdRate             float64 // requests per second to a cold server from all instances together; 0 for no limit
 	OwnsColdServer       func(server string) bool
 	Features             features.Set
 }
 
 const (
-	// objectiveShare is the part of the objective that the expected time may take
-	// when a request is placed; the rest is for what the estimate does not see.
-	objectiveShare = 0.8
-	// lateAhead is the part of the objective that a request which misses it may find ahead
-	// of it. Late requests that add to a backlog make others late in turn: at a peak a
-	// region then reads on, and answers little in time.
-	lateAhead = 0.1
-	// lateShare is the part of the time to its deadline that it may need in all. A prompt that is late
-	// only for its own length is served where servers are free.
-	lateShare = 0.5
-	// defaultReadRate is the prompt tokens per second of an engine, before the measured
-	// paces correct it: that of the slower engines of the first deployments.
-	defaultReadRate = 40_000.0
-	// baseTime is from a dispatch to the first byte at an idle engine, in seconds:
+	// objectiveFraction is the fraction of the objective that the expected time may take
+	// when a request is placed; the rest covers what the estimate leaves out.
+	objectiveFraction = 0.8
+	// lateBacklogFraction is the fraction of the objective that the backlog ahead of a late
+	// request may take. Late requests added to a longer backlog make others late in turn: in a
+	// traffic spike a region then keeps prefilling and answers little in time.
+	lateBacklogFraction = 0.1
+	// lateDeadlineFraction is the fraction of the time to its deadline that a late request may
+	// need in all. A prompt that is late only because of its own length is served where servers
+	// are free.
+	lateDeadlineFraction = 0.5
+	// defaultPrefillRate is in prompt tokens per second and engine, before the measured latency
+	// factors correct it: that of the slower engines of the first deployments.
+	defaultPrefillRate = 40_000.0
+	// idleFirstByteSeconds is the time from a dispatch to the first byte at an idle engine:
 	// one step and the connection.
-	baseTime = 0.015
-	// defaultServiceTime of a plain service's request, in seconds, until measured.
-	defaultServiceTime = 0.05
-	// readWeight multiplies prompt tokens that have to be read: they hold up every
-	// other request, and what is then held twice pushes out other parts. With a small one
-	// prompts leave the server that holds their parts for any that is a little emptier.
-	readWeight = 6.0
-	// homeShare is the part of the shared tokens by which the server that the hash
-	// names costs less than one that holds as little: the next request with the same
-	// parts goes there too.
-	homeShare = 0.3
-	// reportFade is the age at which a reported load counts half, in seconds. What the
-	// other instances say of their own load is newer than a report after some tenths of a
-	// second; a longer fade keeps a server full after its batch has emptied.
-	reportFade = 0.5
-	// poolPaceWeight is the weight of a new measurement in the pool's pace. What slows
-	// all servers down, such as full batches, shows in a second where one server is
-	// seen too seldom.
-	poolPaceWeight = 0.04
-	maxPoolPace    = 4.0
-	// unreadWeight is the weight of a request in the mean of what requests leave to be
-	// read, by which waiting requests of others are counted.
-	unreadWeight = 0.02
-	// queueFactor times the slots is what a plain server may be sent in all; it
+	idleFirstByteSeconds = 0.015
+	// defaultServiceSeconds is the time that a plain service takes for a request, until measured.
+	defaultServiceSeconds = 0.05
+	// prefillWeight multiplies the cost of prompt tokens that have to be computed: they delay
+	// every other request, and segments cached at two servers evict others. With a small weight
+	// prompts leave the server that has their segments cached for any that is a little emptier.
+	prefillWeight = 6.0
+	// preferredDiscount is the fraction of the cost of the shared tokens by which the preferred
+	// server costs less than one that has as much cached, so that the next request with the same
+	// segments goes to it too.
+	preferredDiscount = 0.3
+	// reportHalfWeightAge is the age in seconds at which a reported load counts half. After some
+	// tenths of a second the load reports of the other instances are newer than a server's own
+	// report; with a larger value a server counts as full after its batch has emptied.
+	reportHalfWeightAge = 0.5
+	// poolLatencyWeight is the weight of a new measurement in the pool's latency factor. What
+	// slows down all servers, such as full batches, shows in it within a second, whereas a
+	// single server is sampled too seldom.
+	poolLatencyWeight    = 0.04
+	maxPoolLatencyFactor = 4.0
+	// uncachedWeight is the weight of a request in the mean number of uncached tokens, by which
+	// the waiting requests of other instances are converted into tokens.
+	uncachedWeight = 0.02
+	// queueFactor times the slots is how many requests a plain server may have in all; it
 	// queues four times its slots and sheds what is beyond.
 	queueFactor = 3.0
-	// cacheShare of an engine's capacity is taken to hold prompts; the rest is for
-	// what runs.
-	cacheShare = 0.6
+	// promptCacheFraction of an engine's capacity is assumed to cache prompts; the rest is for
+	// running requests.
+	promptCacheFraction = 0.6
 )
 
-// PromptSegment is one part of a prompt, in order.
+// PromptSegment is one segment of a prompt. Segments are in the order of the prompt.
 type PromptSegment struct {
 	ID     uint64
 	Tokens int
 }
 
-// Request is what a choice needs to know of a request.
+// Request holds what placement needs to know of a request.
 type Request struct {
 	Segments     []PromptSegment // the last one is the request's own
 	Tokens       int             // of the whole prompt
 	Urgency      int             // 0 is the most urgent
 	Objective    time.Duration
-	MaxEventGap  time.Duration // longest pause within an answer that is on time; 0 for none
+	MaxEventGap  time.Duration // longest gap between events of a response that is on time; 0 for no limit
 	Arrived      time.Time
 	Deadline     time.Time
-	Exclude      []string    // servers that were tried
-	RemoteSource FetchSource // another region's server that may hold shared parts
-	RejectIfLate bool        // refuse when the objective would be missed
-	AllowEjected bool        // may go to a server that fails a part of its requests rather than be refused
-	Probe        bool        // may run on a server that is set aside, to see whether it has recovered
+	Exclude      []string    // IDs of servers that were tried
+	RemoteSource FetchSource // server of another region that may have the shared segments cached
+	RejectIfLate bool        // refuse the request when it would miss its objective
+	AllowEjected bool        // may go to an ejected server that fails part of its requests rather than be refused
+	Probe        bool        // may run on an ejected server, to find out whether it has recovered
 }
 
-// subject is the hash of the shared parts; 0 when there are none.
-func (w *Request) subject() uint64 {
-	if len(w.Segments) < 2 {
+// prefixHash returns the hash of the shared segments, or 0 when there are none.
+func (r *Request) prefixHash() uint64 {
+	if len(r.Segments) < 2 {
 		return 0
 	}
 	var digest xxhash.Digest
 	digest.Reset()
-	for _, p := range w.Segments[:len(w.Segments)-1] {
+	for _, segment := range r.Segments[:len(r.Segments)-1] {
 		var b [8]byte
 		for i := range b {
-			b[i] = byte(p.ID >> (8 * i))
+			b[i] = byte(segment.ID >> (8 * i))
 		}
 		_, _ = digest.Write(b[:]) // writing to a hash does not fail
 	}
 	return digest.Sum64()
 }
 
-func (w *Request) shared() int {
+func (r *Request) sharedTokens() int {
 	total := 0
-	for _, p := range w.Segments[:max(len(w.Segments)-1, 0)] {
-		total += p.Tokens
+	for _, segment := range r.Segments[:max(len(r.Segments)-1, 0)] {
+		total += segment.Tokens
 	}
 	return total
 }
 
-// Reason says why nothing was chosen.
+// Reason says why no server was chosen.
 type Reason string
 
-// Reasons.
+// Reasons for a refusal.
 const (
 	ReasonNone     Reason = ""
-	ReasonNoServer Reason = "no_server" // none that may be used
+	ReasonNoServer Reason = "no_server" // no usable server
 	ReasonFull     Reason = "full"      // every server is at its limit or too late
-	ReasonCold     Reason = "cold"      // only cold servers, which take few requests
+	ReasonCold     Reason = "cold"      // only cold servers are left, which accept few requests
 )
 
-// Choice is the outcome of a placement.
+// Choice is the result of a placement.
 type Choice struct {
 	Placement         *Placement // nil when refused
 	Reason            Reason
 	RetryAfter        time.Duration // when a request like this may be placed
-	ExpectedFirstByte time.Duration // to the first byte, at the best server
-	Late              bool          // it will miss its objective
-	CachedTokens      int           // prompt tokens that the server is taken to hold
-	Running           int           // requests that it is taken to have
-	BacklogTokens     int           // prompt tokens that it has to read for others before
-	ExpectedEventGap  time.Duration // the longest that reading the prompt should cause its running answers; 0 when not known
-	FetchFrom         string        // address of a server from which it should fetch more of them; may be empty
+	ExpectedFirstByte time.Duration // at the best server
+	Late              bool          // the request will miss its objective
+	CachedTokens      int           // prompt tokens that the server is expected to have cached
+	Running           int           // requests that the server is expected to have
+	BacklogTokens     int           // prompt tokens of other requests that the server computes before
+	ExpectedEventGap  time.Duration // longest gap that the prefill is expected to cause in running generations; 0 when not known
+	FetchFrom         string        // address of a server to fetch cached tokens from; may be empty
 }
 
-// Placement is a request on a server. It ends with Done.
+// Placement is a request at a server. It ends with Done.
 type Placement struct {
-	Server   backends.Entry
-	Sent     time.Time
-	server   *server
-	tokens   float64 // prompt tokens to be read
-	urgency  int
-	expected float64
-	first    bool // the first byte came
-	done     bool
+	Server          backends.Entry
+	Sent            time.Time
+	server          *server
+	prefillTokens   float64 // prompt tokens to be computed
+	urgency         int
+	expectedSeconds float64
+	gotFirstByte    bool // the response has begun
+	done            bool
 }
 
 // Pool places the requests of one service on the servers of one region. It is
 // safe for concurrent use.
 type Pool struct {
-	mu       sync.Mutex
-	settings Settings
-	servers  []*server
-	readRate float64       // prompt tokens per second; the paces correct it
-	work     float64       // seconds, of a plain request, as measured
-	pace     float64       // measured over expected time, of all servers
-	unread   float64       // mean prompt tokens that a request leaves to be read
-	gap      time.Duration // the shortest pause that a route allows; 0 while none is known
-	pauses   pauseFit
-	fastest  float64 // least mean pause between the events of a server's answers, in seconds
-	byHash   map[uint32]*server
-	sent     []Dispatch           // since the last digest
-	peers    map[string]*peerWord // by instance
-	comeback comeback
-	far      map[string][]farServer // by region
+	mu             sync.Mutex
+	settings       Settings
+	servers        []*server
+	prefillRate    float64       // prompt tokens per second; the latency factors correct it
+	serviceSeconds float64       // measured time of a plain request
+	latencyFactor  float64       // measured over expected time, of all servers
+	meanUncached   float64       // mean prompt tokens of a request that are not cached
+	minEventGap    time.Duration // shortest gap limit of any route; 0 while none is known
+	gapFit         gapLine
+	minMeanGap     float64 // smallest mean gap between response events of any server, in seconds
+	byHash         map[uint32]*server
+	dispatches     []Dispatch             // since the last load report
+	peerReports    map[string]*peerReport // by instance
+	retries        retryScheduler
+	remote         map[string][]remoteServer // by region
 }
 
 // New returns a pool without servers.
 func New() *Pool {
-	return &Pool{readRate: defaultReadRate, work: defaultServiceTime, pace: 1, peers: make(map[string]*peerWord)}
+	return &Pool{prefillRate: defaultPrefillRate, serviceSeconds: defaultServiceSeconds, latencyFactor: 1, peerReports: make(map[string]*peerReport)}
 }
 
-// Update takes in the settings and the servers that may be used.
+// Update replaces the settings and the list of usable servers. A server keeps its state as
+// long as its incarnation is the same.
 func (p *Pool) Update(settings Settings, entries []backends.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,98 +228,98 @@
 	p.servers = next
 }
 
-// Place chooses a server. The caller sends the request there at once.
-func (p *Pool) Place(w *Request, now time.Time) Choice {
+// Place chooses a server. The caller has to send the request to it at once.
+func (p *Pool) Place(r *Request, now time.Time) Choice {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, found := p.choose(w, now)
-	choice := p.weighUp(best, w, found, now)
+	best, counts := p.choose(r, now)
+	choice := p.evaluate(best, r, counts, now)
 	if choice.Reason == ReasonNone {
-		choice.Placement = p.start(best, w, now)
+		choice.Placement = p.start(best, r, now)
 		return choice
 	}
-	if w.RejectIfLate {
+	if r.RejectIfLate {
 		return choice
 	}
-	if risky := p.lastResort(w, now); risky != nil {
-		choice = p.weighUp(risky, w, found, now)
-		choice.Placement = p.start(risky, w, now)
+	if fallback := p.ejectedFallback(r, now); fallback != nil {
+		choice = p.evaluate(fallback, r, counts, now)
+		choice.Placement = p.start(fallback, r, now)
 		return choice
 	}
-	if choice.Reason == ReasonFull && p.on(features.RetryAfterPacing) {
-		choice.RetryAfter = p.comeback.after(max(choice.RetryAfter, retryFull), now)
+	if choice.Reason == ReasonFull && p.enabled(features.RetryAfterPacing) {
+		choice.RetryAfter = p.retries.retryAfter(max(choice.RetryAfter, retryAfterFull), now)
 	}
 	return choice
 }
 
-func (p *Pool) on(name features.Name) bool { return p.settings.Features.On(name) }
+func (p *Pool) enabled(name features.Name) bool { return p.settings.Features.On(name) }
 
-// weighUp tells whether a request should go to the cheapest server, and if not, why.
-func (p *Pool) weighUp(best *candidate, w *Request, found census, now time.Time) Choice {
+// evaluate decides whether the request goes to the best server, and if not, why.
+func (p *Pool) evaluate(best *candidate, r *Request, counts serverCounts, now time.Time) Choice {
 	if best == nil {
-		return p.refuse(found, now)
+		return p.refuse(counts, now)
 	}
-	expected := seconds(best.expected)
+	expected := seconds(best.firstByteSeconds)
 	choice := Choice{
 		ExpectedFirstByte: expected, CachedTokens: best.cached, FetchFrom: best.fetchFrom,
-		Running: int(p.running(best.server, now)), BacklogTokens: int(best.ahead), ExpectedEventGap: seconds(best.pause),
+		Running: int(p.running(best.server, now)), BacklogTokens: int(best.backlog), ExpectedEventGap: seconds(best.gapSeconds),
 	}
-	if best.onTime(w, now) {
+	if best.onTime(r, now) {
 		return choice
 	}
 	choice.Late = true
-	if w.RejectIfLate || best.tooLate(w, now) {
+	if r.RejectIfLate || best.tooLate(r, now) {
 		choice.Reason = ReasonFull
-		choice.RetryAfter = expected - share(w.Objective, objectiveShare)
+		choice.RetryAfter = expected - scaleDuration(r.Objective, objectiveFraction)
 	}
 	return choice
 }
 
-// ExpectedFirstByte returns the expected time to the first byte, and false when no server
-// can be used.
-func (p *Pool) ExpectedFirstByte(w *Request, now time.Time) (time.Duration, bool) {
+// ExpectedFirstByte returns the expected time to the first byte, and false when no
+// server can be used.
+func (p *Pool) ExpectedFirstByte(r *Request, now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, _ := p.choose(w, now)
+	best, _ := p.choose(r, now)
 	if best == nil {
 		return 0, false
 	}
-	return seconds(best.expected), true
+	return seconds(best.firstByteSeconds), true
 }
 
-// census says why servers were passed over.
-type census struct {
+// serverCounts counts the usable servers and those that were passed over, by reason.
+type serverCounts struct {
 	usable, full, cold int
-	coldNext           time.Time
+	nextColdSlot       time.Time
 }
 
-// choose returns the cheapest server that may be used, nil when there is none.
-func (p *Pool) choose(w *Request, now time.Time) (*candidate, census) {
-	p.forgetSilent(now)
-	aside := p.setAside(now)
-	return p.cheapest(w, aside, now, func(s *server) bool {
-		return !aside[s] || w.Probe && s.probeDue(now)
+// choose returns the cheapest server that may be used, or nil when there is none.
+func (p *Pool) choose(r *Request, now time.Time) (*candidate, serverCounts) {
+	p.dropExpiredReports(now)
+	ejected := p.ejectedServers(now)
+	return p.cheapest(r, ejected, now, func(s *server) bool {
+		return !ejected[s] || r.Probe && s.probeDue(now)
 	})
 }
 
-func (p *Pool) cheapest(w *Request, aside map[*server]bool, now time.Time, allowed func(*server) bool) (*candidate, census) {
-	var c census
-	subject := w.subject()
-	home := p.home(subject)
-	holder, held := p.holder(w, aside)
-	longest := p.longestPause(w)
+func (p *Pool) cheapest(r *Request, ejected map[*server]bool, now time.Time, allowed func(*server) bool) (*candidate, serverCounts) {
+	var c serverCounts
+	prefixHash := r.prefixHash()
+	preferred := p.preferredServer(prefixHash)
+	holder, held := p.cacheHolder(r, ejected)
+	longest := p.expectedLongestGap(r)
 	var best *candidate
-	var next candidate // of each server in turn
+	var next candidate // reused for each server
 	for _, s := range p.servers {
-		if slices.Contains(w.Exclude, s.ID) || !s.Usable(now) || !allowed(s) {
+		if slices.Contains(r.Exclude, s.ID) || !s.Usable(now) || !allowed(s) {
 			continue
 		}
 		c.usable++
 		if now.Before(s.ColdUntil) && p.settings.ColdRate > 0 {
 			if next, ok := p.coldSlot(s, now); !ok {
 				c.cold++
-				if c.coldNext.IsZero() || next.Before(c.coldNext) {
-					c.coldNext = next
+				if c.nextColdSlot.IsZero() || next.Before(c.nextColdSlot) {
+					c.nextColdSlot = next
 				}
 				continue
 			}
@@ -327,11 +328,11 @@
 			c.full++
 			continue
 		}
-		p.weigh(&next, s, w, home, longest, now)
+		p.score(&next, s, r, preferred, longest, now)
 		if holder != s {
-			p.fetch(&next, holder, held)
+			p.applyLocalFetch(&next, holder, held)
 		}
-		p.fetchFar(&next, w)
+		p.applyRemoteFetch(&next, r)
 		if best == nil {
 			best = new(candidate)
 			*best = next
@@ -346,59 +347,59 @@
 	if p.settings.OwnsColdServer != nil && !p.settings.OwnsColdServer(s.ID) {
 		return s.ColdUntil, false
 	}
-	return s.coldNext, !now.Before(s.coldNext)
+	return s.nextColdSlot, !now.Before(s.nextColdSlot)
 }
 
-func (p *Pool) start(c *candidate, w *Request, now time.Time) *Placement {
+func (p *Pool) start(c *candidate, r *Request, now time.Time) *Placement {
 	s := c.server
-	p.comeback.took(now)
+	p.retries.recordPlacement(now)
 	s.inFlight++
-	s.addPending(w.Urgency, c.unread)
-	p.unread += (c.unread - p.unread) * unreadWeight
-	p.note(s, w.Segments)
+	s.addPending(r.Urgency, c.uncached)
+	p.meanUncached += (c.uncached - p.meanUncached) * uncachedWeight
+	p.recordDispatch(s, r.Segments)
 	if now.Before(s.ColdUntil) && p.settings.ColdRate > 0 {
-		s.coldNext = now.Add(seconds(1 / p.settings.ColdRate))
+		s.nextColdSlot = now.Add(seconds(1 / p.settings.ColdRate))
 	}
-	if now.Before(s.asideUntil) {
+	if now.Before(s.ejectedUntil) {
 		s.probedAt = now
 	}
-	s.cache.touch(w.Segments, p.cacheCapacity())
-	if w.MaxEventGap > 0 && (p.gap == 0 || w.MaxEventGap < p.gap) {
-		p.gap = w.MaxEventGap
+	s.cache.touch(r.Segments, p.cacheCapacity())
+	if r.MaxEventGap > 0 && (p.minEventGap == 0 || r.MaxEventGap < p.minEventGap) {
+		p.minEventGap = r.MaxEventGap
 	}
-	pl := &Placement{Server: s.Entry, server: s, tokens: c.unread, urgency: w.Urgency, Sent: now, expected: c.expected}
-	s.reading[pl] = &reading{tokens: float64(w.Tokens), since: now}
+	pl := &Placement{Server: s.Entry, server: s, prefillTokens: c.uncached, urgency: r.Urgency, Sent: now, expectedSeconds: c.firstByteSeconds}
+	s.prefills[pl] = &prefill{tokens: float64(r.Tokens), since: now}
 	return pl
 }
 
-// refuse says when to come back.
-func (p *Pool) refuse(c census, now time.Time) Choice {
+// refuse returns the refusal, with the time after which the caller may retry.
+func (p *Pool) refuse(c serverCounts, now time.Time) Choice {
 	switch {
 	case c.usable == 0:
-		return Choice{Reason: ReasonNoServer, RetryAfter: retryNoServer}
+		return Choice{Reason: ReasonNoServer, RetryAfter: retryAfterNoServer}
 	case c.cold > 0 && c.full == 0:
-		return Choice{Reason: ReasonCold, RetryAfter: max(c.coldNext.Sub(now), retryFull)}
+		return Choice{Reason: ReasonCold, RetryAfter: max(c.nextColdSlot.Sub(now), retryAfterFull)}
 	}
-	return Choice{Reason: ReasonFull, RetryAfter: retryFull}
+	return Choice{Reason: ReasonFull, RetryAfter: retryAfterFull}
 }
 
 const (
-	// retryNoServer is when to come back to a service without servers: a crashed one
-	// starts again within seconds.
-	retryNoServer = time.Second
-	// retryFull is when to come back to a service whose servers all have their fill:
-	// about the time that a request runs.
-	retryFull = 300 * time.Millisecond
+	// retryAfterNoServer is the Retry-After of a service without servers: a crashed server
+	// restarts within seconds.
+	retryAfterNoServer = time.Second
+	// retryAfterFull is the Retry-After of a service whose servers are all full: about the
+	// time that a request runs.
+	retryAfterFull = 300 * time.Millisecond
 )
 
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, float64(math.MaxInt32)) * float64(time.Second))
 }
 
-func share(d time.Duration, part float64) time.Duration {
-	return time.Duration(float64(d) * part)
+func scaleDuration(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(d) * fraction)
 }
 
-func fade(age time.Duration) float64 {
-	return reportFade / (reportFade + max(age.Seconds(), 0))
+func ageWeight(age time.Duration) float64 {
+	return reportHalfWeightAge / (reportHalfWeightAge + max(age.Seconds(), 0))
 }
--- a/coordination/placement/plain_test.go
+++ b/coordination/placement/plain_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// A region has one server of a plain service, with six slots. One answer takes a second,
-// where thirty milliseconds are usual. The callers of the next second were refused and told
-// to come back after seconds, while nothing ran at the server.
-func TestOneSlowAnswerRefusesNobodyBesideFreeSlots(t *testing.T) {
+// A region has one server of a plain service, with six slots. One response takes a second
+// instead of the usual thirty milliseconds. Guards against refusals of all requests in the
+// next second, with a Retry-After of seconds, while nothing runs at the server.
+func TestOneSlowResponseRefusesNobodyBesideFreeSlots(t *testing.T) {
 	p := New()
-	e := entries(1)
+	e := newEntries(1)
 	e[0].Slots = 6
 	p.Update(Settings{Slots: 6}, e)
 	now := start
 	order := func() *Request {
 		return &Request{Urgency: 1, Objective: 500 * time.Millisecond, Arrived: now, Deadline: now.Add(3 * time.Second)}
 	}
-	answer := func(took time.Duration) {
-		pl := place(t, p, order(), now)
+	respond := func(took time.Duration) {
+		pl := mustPlace(t, p, order(), now)
 		p.RecordFirstByte(pl, now.Add(took))
 		p.Done(pl, OutcomeServed, now.Add(took))
 		now = now.Add(took)
 	}
 	for range 50 {
-		answer(30 * time.Millisecond)
+		respond(30 * time.Millisecond)
 	}
-	answer(time.Second)
+	respond(time.Second)
 	for range 20 {
 		if c := p.Place(order(), now); c.Placement == nil {
 			t.Fatalf("refused with %s, %v expected, %d running", c.Reason, c.ExpectedFirstByte, c.Running)
@@ -37,19 +37,19 @@
 	}
 }
 
-// As above, but all slots are taken and requests wait: what the slow answer says of the wait
-// counts, and the caller is told to come back.
-func TestSlowAnswersCountWhereRequestsWait(t *testing.T) {
+// As above, but all slots are in use and requests queue: the excess time of the slow response
+// counts, and the caller is told to retry.
+func TestSlowResponsesCountWhereRequestsQueue(t *testing.T) {
 	p := New()
-	e := entries(1)
+	e := newEntries(1)
 	e[0].Slots = 6
 	p.Update(Settings{Slots: 6}, e)
-	w := &Request{Urgency: 1, Objective: 500 * time.Millisecond, Arrived: start, Deadline: start.Add(3 * time.Second)}
-	pl := place(t, p, w, start)
+	r := &Request{Urgency: 1, Objective: 500 * time.Millisecond, Arrived: start, Deadline: start.Add(3 * time.Second)}
+	pl := mustPlace(t, p, r, start)
 	p.servers[0].inFlight = 8
 	p.RecordFirstByte(pl, start.Add(time.Second))
-	w.Arrived, w.Deadline = start.Add(time.Second), start.Add(4*time.Second)
-	if c := p.Place(w, start.Add(time.Second)); c.Placement != nil {
-		t.Errorf("taken, %v expected", c.ExpectedFirstByte)
+	r.Arrived, r.Deadline = start.Add(time.Second), start.Add(4*time.Second)
+	if c := p.Place(r, start.Add(time.Second)); c.Placement != nil {
+		t.Errorf("placed, %v expected", c.ExpectedFirstByte)
 	}
 }
--- a/coordination/placement/server.go
+++ b/coordination/placement/server.go
@@ -9,83 +9,83 @@
 )
 
 const (
-	urgencies = 10 // classes of urgency that are told apart
+	urgencyLevels = 10 // levels of urgency that are distinguished
 
-	// paceWeight is the weight of a new measurement in a server's pace.
-	paceWeight = 0.15
-	minPace    = 0.5
-	maxPace    = 8.0
-	// excessHalfLife is how fast a wait that nobody expected is forgotten, in seconds.
+	// latencyWeight is the weight of a new measurement in a server's latency factor.
+	latencyWeight    = 0.15
+	minLatencyFactor = 0.5
+	maxLatencyFactor = 8.0
+	// excessHalfLife is the half-life, in seconds, of the time that requests took beyond the expected.
 	excessHalfLife = 0.7
-	// failureWeight is the weight of a new outcome in a server's share of failures: the
-	// last dozen count.
+	// failureWeight is the weight of a new outcome in a server's failure rate: about the last
+	// dozen outcomes count.
 	failureWeight = 0.2
-	// failureLimit is the share of failures from which a server is set aside: above
-	// that of servers that lose one answer in twenty, below half of what a failing one
-	// shows. Errors of a plain service's own do not count.
-	failureLimit = 0.4
-	// refusedFailure is how much of a failure a server's refusal is: it is full or
-	// leaves, and says so in time.
-	refusedFailure = 0.4
-	// leastOutcomes before a server is judged.
-	leastOutcomes = 4
-	// soundOutcomes is how many requests in a row a server that was set aside has to serve.
+	// ejectionThreshold is the failure rate from which a server is ejected: above that of servers
+	// that lose one response in twenty, below half of that of a failing one. Error statuses of a
+	// plain service do not count.
+	ejectionThreshold = 0.4
+	// refusalWeight is the fraction of a failure that a refusal by a server counts: the server
+	// is full or leaving, and says so in time.
+	refusalWeight = 0.4
+	// minOutcomes is the number of outcomes before a server may be ejected.
+	minOutcomes = 4
+	// recoveryOutcomes is how many consecutive requests an ejected server has to serve.
 	// One that fails half of its requests does so once in sixty tries.
-	soundOutcomes = 6
-	// minAside and maxAside bound the first time and the longest for which a server is
-	// set aside at which nothing listens: it starts again within seconds.
-	minAside = 700 * time.Millisecond
-	maxAside = 5 * time.Second
-	// failingAside is how long one is set aside that fails a part of its requests. It
-	// comes back before when probes succeed; some twenty of them fit in, of which six in a
-	// row have to. With the times of minAside it came back by
-	// itself every second or two, was the emptiest server of its region, and every
-	// instance sent it requests of which half were lost, also such as may not be repeated.
-	failingAside = 8 * time.Second
-	probeEvery   = 400 * time.Millisecond // between requests to a server that is set aside
+	recoveryOutcomes = 6
+	// minEjection and maxEjection bound how long a server is ejected that accepts no
+	// connections: it restarts within seconds.
+	minEjection = 700 * time.Millisecond
+	maxEjection = 5 * time.Second
+	// failingEjection is how long a server is ejected that fails part of its requests. It
+	// returns earlier when probes succeed: about twenty of them fit in, of which six consecutive
+	// ones have to. With the durations of minEjection it returned by itself every second or two,
+	// was the emptiest server of its region, and every instance sent it requests of which half
+	// were lost, including some that must not be repeated.
+	failingEjection = 8 * time.Second
+	probeInterval   = 400 * time.Millisecond // between requests to an ejected server
 )
 
-// server is what one instance knows of a backend server in one lifetime.
+// server is the state that one instance keeps of one incarnation of a backend server.
 type server struct {
 	backends.Entry
 	hash uint64 // of the id
 
-	inFlight int
-	pending  [urgencies]float64 // prompt tokens of requests whose first byte has not come
-	peers    peerTotals
-	steps    steps
-	reading  map[*Placement]*reading
-	slowness float64 // its pauses over those of all servers, with prompts of the same size
-
-	others     float64 // requests of other instances, by the last report
-	waiting    float64 // requests that had not begun, by the last report
-	reportedAt time.Time
-
-	pace       float64 // measured over expected time
-	extra      float64 // seconds that the last requests waited beyond what was expected
-	extraAt    time.Time
-	newServed  int // since the last digest, as failed and down
-	newFailed  int
-	newDown    bool
-	failures   float64 // share of failures
-	outcomes   int
-	sound      int // requests served since the last failure
-	asideUntil time.Time
-	asideFor   time.Duration
-	probedAt   time.Time
-	down       bool // nothing listens there
-	coldNext   time.Time
-	cache      *cache
+	inFlight  int
+	pending   [urgencyLevels]float64 // prompt tokens of requests whose first byte has not arrived, by urgency
+	fromPeers peerTotals
+	eventGaps gapTracker
+	prefills  map[*Placement]*prefill
+	gapFactor float64 // its event gaps relative to those of all servers, for prompts of the same size
+
+	othersInFlight  float64 // requests of other instances, by the server's last report
+	reportedWaiting float64 // requests that had not started, by the server's last report
+	reportedAt      time.Time
+
+	latencyFactor     float64 // measured over expected time
+	excessSeconds     float64 // time that recent requests took beyond the expected, at excessAt
+	excessAt          time.Time
+	newServed         int // since the last load report, as are newFailed and newDown
+	newFailed         int
+	newDown           bool
+	failureRate       float64 // decayed mean of the outcomes, 0 to 1
+	outcomes          int
+	consecutiveServed int // requests served since the last failure
+	ejectedUntil      time.Time
+	ejectionDuration  time.Duration
+	probedAt          time.Time
+	down              bool // it accepts no connections
+	nextColdSlot      time.Time
+	cache             *cache
 }
 
 func newServer() *server {
-	return &server{pace: 1, slowness: 1, cache: newCache(), reading: make(map[*Placement]*reading)}
+	return &server{latencyFactor: 1, gapFactor: 1, cache: newCache(), prefills: make(map[*Placement]*prefill)}
 }
 
-func urgencyIndex(urgency int) int { return min(max(urgency, 0), urgencies-1) }
+func urgencyIndex(urgency int) int { return min(max(urgency, 0), urgencyLevels-1) }
 
-// pendingOf returns the prompt tokens that are read before a request of an urgency.
-func (s *server) pendingOf(urgency int) float64 {
+// pendingUpTo returns the prompt tokens that are computed before a request of the given urgency.
+func (s *server) pendingUpTo(urgency int) float64 {
 	total := 0.0
 	for i := 0; i <= urgencyIndex(urgency); i++ {
 		total += s.pending[i]
@@ -93,82 +93,82 @@
 	return total
 }
 
-func (s *server) allPending() float64 { return s.pendingOf(urgencies - 1) }
+func (s *server) totalPending() float64 { return s.pendingUpTo(urgencyLevels - 1) }
 
 func (s *server) addPending(urgency int, tokens float64) {
 	i := urgencyIndex(urgency)
 	s.pending[i] = max(s.pending[i]+tokens, 0)
 }
 
-// excess is what answers took beyond what was expected, which fades.
+// excess returns the time in seconds that responses took beyond the expected; it decays.
 func (s *server) excess(now time.Time) float64 {
-	return s.extra * math.Exp2(-now.Sub(s.extraAt).Seconds()/excessHalfLife)
+	return s.excessSeconds * math.Exp2(-now.Sub(s.excessAt).Seconds()/excessHalfLife)
 }
 
 func (s *server) probeDue(now time.Time) bool {
-	return now.Sub(s.probedAt) >= probeEvery && now.Sub(s.asideUntil.Add(-s.asideFor)) >= minAside/2
+	return now.Sub(s.probedAt) >= probeInterval && now.Sub(s.ejectedUntil.Add(-s.ejectionDuration)) >= minEjection/2
 }
 
-// ReportedLoad is what a server said of its load in an answer.
+// ReportedLoad is the load that a server reports with a response.
 type ReportedLoad struct{ Running, Waiting, Slots int }
 
 // Outcome says how a request ended at its server.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a request.
 const (
 	OutcomeServed    Outcome = iota
-	OutcomeRefused           // the server said that it did not run the request
-	OutcomeFailed            // broke off, hung, or answered with what is no answer
-	OutcomeDown              // nothing listens there
-	OutcomeErrorCode         // a whole answer with an error status of the server
-	OutcomeCancelled         // given up here: says nothing of the server
+	OutcomeRefused           // the server reported that it did not run the request
+	OutcomeFailed            // connection closed early, timed out, or the response was invalid
+	OutcomeDown              // the server accepts no connections
+	OutcomeErrorCode         // a complete response with an error status of the server
+	OutcomeCancelled         // cancelled by this instance or its caller: says nothing about the server
 )
 
-// RecordLoad takes in the load that a server gave with an answer.
+// RecordLoad records the load that a server reported with a response.
 func (p *Pool) RecordLoad(pl *Placement, l ReportedLoad, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := pl.server
-	s.others = max(float64(l.Running+l.Waiting-s.inFlight), 0)
-	s.waiting = float64(l.Waiting)
+	s.othersInFlight = max(float64(l.Running+l.Waiting-s.inFlight), 0)
+	s.reportedWaiting = float64(l.Waiting)
 	s.reportedAt = now
 	if l.Slots > 0 && s.Slots == 0 {
 		s.Slots = l.Slots
 	}
 }
 
-// RecordFirstByte takes in that the answer has begun.
+// RecordFirstByte records that the response has begun.
 func (p *Pool) RecordFirstByte(pl *Placement, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.firstByte(pl, now)
+	p.recordFirstByte(pl, now)
 }
 
-func (p *Pool) firstByte(pl *Placement, now time.Time) {
-	if pl.first {
+func (p *Pool) recordFirstByte(pl *Placement, now time.Time) {
+	if pl.gotFirstByte {
 		return
 	}
-	pl.first = true
+	pl.gotFirstByte = true
 	s := pl.server
-	p.wasRead(s, pl)
-	s.addPending(pl.urgency, -pl.tokens)
+	p.finishPrefill(s, pl)
+	s.addPending(pl.urgency, -pl.prefillTokens)
 	took := now.Sub(pl.Sent).Seconds()
-	if pl.expected <= 0 {
+	if pl.expectedSeconds <= 0 {
 		return
 	}
-	ratio := min(max(took/pl.expected, minPace), maxPace)
-	s.pace += (ratio*s.pace - s.pace) * paceWeight
-	s.pace = min(max(s.pace, minPace), maxPace)
-	if p.on(features.PoolLatencyFactor) {
-		p.pace += (ratio*p.pace - p.pace) * poolPaceWeight
-		p.pace = min(max(p.pace, 1), maxPoolPace)
+	ratio := min(max(took/pl.expectedSeconds, minLatencyFactor), maxLatencyFactor)
+	s.latencyFactor += (ratio*s.latencyFactor - s.latencyFactor) * latencyWeight
+	s.latencyFactor = min(max(s.latencyFactor, minLatencyFactor), maxLatencyFactor)
+	if p.enabled(features.PoolLatencyFactor) {
+		p.latencyFactor += (ratio*p.latencyFactor - p.latencyFactor) * poolLatencyWeight
+		p.latencyFactor = min(max(p.latencyFactor, 1), maxPoolLatencyFactor)
 	}
-	s.extra = max(s.excess(now)/2, took-pl.expected)
-	s.extraAt = now
+	s.excessSeconds = max(s.excess(now)/2, took-pl.expectedSeconds)
+	s.excessAt = now
 }
 
-// Done ends a placement.
+// Done ends a placement. Further calls have no effect.
 func (p *Pool) Done(pl *Placement, outcome Outcome, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,135 +178,136 @@
 	pl.done = true
 	s := pl.server
 	s.inFlight--
-	if !pl.first {
-		delete(s.reading, pl)
-		pl.first = true
-		s.addPending(pl.urgency, -pl.tokens)
+	if !pl.gotFirstByte {
+		delete(s.prefills, pl)
+		pl.gotFirstByte = true
+		s.addPending(pl.urgency, -pl.prefillTokens)
 	}
 	if outcome == OutcomeServed && !p.settings.Engine {
-		p.work += (now.Sub(pl.Sent).Seconds()/max(s.pace, 1) - p.work) * workWeight
+		p.serviceSeconds += (now.Sub(pl.Sent).Seconds()/max(s.latencyFactor, 1) - p.serviceSeconds) * serviceTimeWeight
 	}
-	if outcome == OutcomeServed && s.sentBeforeAside(pl.Sent, now) {
+	if outcome == OutcomeServed && s.sentBeforeEjection(pl.Sent, now) {
 		return
 	}
-	s.judge(outcome, p.settings.Engine, now)
+	s.recordOutcome(outcome, p.settings.Engine, now)
 }
 
-// sentBeforeAside tells whether a request was sent before its server was set aside. That
-// it ended well says nothing of the server now: the streams of a whole batch end in the
-// seconds after it has begun to fail, and would bring it back at once, again and again.
-func (s *server) sentBeforeAside(sent, now time.Time) bool {
-	return now.Before(s.asideUntil) && sent.Before(s.asideUntil.Add(-s.asideFor))
+// sentBeforeEjection reports whether a request was sent before its server was ejected. Its
+// success says nothing about the server's present state: the streams of a whole batch end in
+// the seconds after the server has begun to fail, and would end its ejection again and again.
+func (s *server) sentBeforeEjection(sent, now time.Time) bool {
+	return now.Before(s.ejectedUntil) && sent.Before(s.ejectedUntil.Add(-s.ejectionDuration))
 }
 
-// workWeight is the weight of a new measurement in a plain service's mean time.
-const workWeight = 0.05
+// serviceTimeWeight is the weight of a new measurement in the mean time of a plain service.
+const serviceTimeWeight = 0.05
 
-// judge counts failures and sets the server aside.
-func (s *server) judge(outcome Outcome, engine bool, now time.Time) {
+// recordOutcome counts an outcome and ejects the server when it fails too often.
+func (s *server) recordOutcome(outcome Outcome, engine bool, now time.Time) {
 	switch outcome {
 	case OutcomeCancelled:
 		return
 	case OutcomeDown:
 		s.newDown = true
 		s.down = true
-		s.goneAside(now)
+		s.ejectUnreachable(now)
 		return
 	case OutcomeErrorCode:
 		if engine {
-			s.fail(now)
+			s.recordFailure(now)
 		}
 		return
 	case OutcomeFailed:
-		s.fail(now)
+		s.recordFailure(now)
 	case OutcomeRefused:
-		s.count(refusedFailure, now)
+		s.countOutcome(refusalWeight, now)
 	case OutcomeServed:
 		s.newServed++
-		s.count(0, now)
+		s.countOutcome(0, now)
 	}
 }
 
-func (s *server) fail(now time.Time) {
+func (s *server) recordFailure(now time.Time) {
 	s.newFailed++
-	s.count(1, now)
+	s.countOutcome(1, now)
 }
 
-func (s *server) count(failure float64, now time.Time) { s.countAll(1, failure, now) }
+func (s *server) countOutcome(failure float64, now time.Time) { s.countOutcomes(1, failure, now) }
 
-// countAll takes in the outcomes of some requests of which nobody knows the order, with
-// the mean of their failures.
-func (s *server) countAll(requests int, failure float64, now time.Time) {
+// countOutcomes counts a number of outcomes in unknown order, with the mean of their
+// failures. It ends the ejection of a server that has recovered.
+func (s *server) countOutcomes(requests int, failure float64, now time.Time) {
 	s.outcomes += requests
-	s.failures += (failure - s.failures) * (1 - math.Pow(1-failureWeight, float64(requests)))
-	listens := s.down && failure == 0 // again
+	s.failureRate += (failure - s.failureRate) * (1 - math.Pow(1-failureWeight, float64(requests)))
+	reachable := s.down && failure == 0 // accepts connections again
 	if failure > 0 {
-		s.sound = 0
+		s.consecutiveServed = 0
 	} else {
-		s.sound += requests
+		s.consecutiveServed += requests
 		s.down = false
 	}
 	switch {
-	case (listens || s.sound >= soundOutcomes) && s.failures < failureLimit/2:
-		s.asideUntil, s.asideFor = time.Time{}, 0
-	case failure > 0 && s.outcomes >= leastOutcomes && s.failures >= failureLimit:
-		s.setAside(failingAside, now)
+	case (reachable || s.consecutiveServed >= recoveryOutcomes) && s.failureRate < ejectionThreshold/2:
+		s.ejectedUntil, s.ejectionDuration = time.Time{}, 0
+	case failure > 0 && s.outcomes >= minOutcomes && s.failureRate >= ejectionThreshold:
+		s.eject(failingEjection, now)
 	}
 }
 
-// goneAside sets a server aside at which nothing listens, longer each time.
-func (s *server) goneAside(now time.Time) {
-	s.setAside(min(max(2*s.asideFor, minAside), maxAside), now)
+// ejectUnreachable ejects a server that accepts no connections, for longer each time.
+func (s *server) ejectUnreachable(now time.Time) {
+	s.eject(min(max(2*s.ejectionDuration, minEjection), maxEjection), now)
 }
 
-func (s *server) setAside(d time.Duration, now time.Time) {
-	if now.Before(s.asideUntil) && now.Sub(s.asideUntil.Add(-s.asideFor)) < minAside {
-		return // failures of requests that were under way say nothing new
+func (s *server) eject(d time.Duration, now time.Time) {
+	if now.Before(s.ejectedUntil) && now.Sub(s.ejectedUntil.Add(-s.ejectionDuration)) < minEjection {
+		return // requests that were in flight at the ejection fail for the same reason
 	}
-	s.asideFor = d
-	s.asideUntil = now.Add(s.asideFor)
+	s.ejectionDuration = d
+	s.ejectedUntil = now.Add(s.ejectionDuration)
 }
 
-// Summary is what other regions are told of a service's servers here.
+// Summary is what other regions are told about a service's servers in this region.
 type Summary struct {
 	Servers           int
-	Running           int           // requests that the servers have, of all instances
-	FreeSlots         int           // requests that could start at once
-	ExpectedFirstByte time.Duration // to the first byte of a prompt of ordinary size
-	StallFraction     float64       // part of the servers' time that does not go into running answers
+	Running           int           // requests at the servers, from all instances
+	FreeSlots         int           // requests that can start at once
+	ExpectedFirstByte time.Duration // for a prompt of summaryPromptTokens
+	StallFraction     float64       // fraction of the servers' time that does not go into decoding running generations
 }
 
-// summaryTokens is the size of the prompt that a summary speaks of, in tokens that
-// have to be read: a shared prompt of the first deployments with its own part.
-const summaryTokens = 4000
-
-// ExtraPrefillTime is how much longer than a summary says the request should take in
-// another region. Without it a prompt that is late for its own length looks on time far
-// away, is sent there, and is later still. Of the shared parts most are held there too.
-func ExtraPrefillTime(w *Request) time.Duration {
-	unread := float64(w.Tokens) - unreadAbroad*float64(w.shared())
-	return seconds(max(unread-summaryTokens, 0) / defaultReadRate)
+// summaryPromptTokens is the size of the prompt that a summary refers to, in uncached
+// tokens: a shared prompt of the first deployments with its own segment.
+const summaryPromptTokens = 4000
+
+// ExtraPrefillTime returns how much longer than a summary says the request is expected to
+// take in another region. Without it a prompt that is late because of its own length looks on
+// time in a remote region, is sent there, and is later still. Most of the shared segments are
+// expected to be cached in the remote region too.
+func ExtraPrefillTime(r *Request) time.Duration {
+	uncached := float64(r.Tokens) - remoteCachedFraction*float64(r.sharedTokens())
+	return seconds(max(uncached-summaryPromptTokens, 0) / defaultPrefillRate)
 }
 
-// unreadAbroad is the part of the shared tokens that another region is taken to hold.
-const unreadAbroad = 0.6
+// remoteCachedFraction is the fraction of the shared tokens that another region is expected to have cached.
+const remoteCachedFraction = 0.6
 
 // Summarize describes the pool for other regions.
 func (p *Pool) Summarize(now time.Time) Summary {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := Request{Tokens: summaryTokens, Urgency: urgencies - 1, Arrived: now}
-	best, c := p.choose(&w, now)
+	r := Request{Tokens: summaryPromptTokens, Urgency: urgencyLevels - 1, Arrived: now}
+	best, c := p.choose(&r, now)
 	running, slots := p.occupancy(now)
-	out := Summary{Servers: c.usable, Running: int(running), FreeSlots: int(max(slots-running, 0)), StallFraction: p.allSlowed(now)}
+	out := Summary{Servers: c.usable, Running: int(running), FreeSlots: int(max(slots-running, 0)), StallFraction: p.meanStall(now)}
 	if best != nil {
-		out.ExpectedFirstByte = seconds(best.expected)
+		out.ExpectedFirstByte = seconds(best.firstByteSeconds)
 	}
 	return out
 }
 
-// Occupancy returns how many requests the servers that take any have, and how many they
-// are sent at most.
+// Occupancy returns how many requests the servers in use have, and how many they are sent
+// at most. Ejected and cold servers do not count.
 func (p *Pool) Occupancy(now time.Time) (running, slots float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -314,10 +315,10 @@
 }
 
 func (p *Pool) occupancy(now time.Time) (running, slots float64) {
-	p.forgetSilent(now)
-	aside := p.setAside(now)
+	p.dropExpiredReports(now)
+	ejected := p.ejectedServers(now)
 	for _, s := range p.servers {
-		if !s.Usable(now) || aside[s] || p.settings.ColdRate > 0 && now.Before(s.ColdUntil) {
+		if !s.Usable(now) || ejected[s] || p.settings.ColdRate > 0 && now.Before(s.ColdUntil) {
 			continue
 		}
 		running += min(p.running(s, now), p.limit(s))
@@ -326,7 +327,7 @@
 	return running, slots
 }
 
-// State is what is known of one server, for operators.
+// State is the state of one server, as operators see it in the state dump.
 type State struct {
 	ID, Address string
 	InFlight    int
@@ -335,8 +336,8 @@
 	Failures    float64
 	Aside, Down bool
 	Cold        bool
-	Slowed      float64 // part of its time that does not go into running answers
-	Slowness    float64 // its longest pauses over those of all servers
+	Slowed      float64 // fraction of its time that does not go into decoding running generations
+	Slowness    float64 // its event gaps relative to those of all servers
 }
 
 // States returns the state of every server.
@@ -346,17 +347,17 @@
 	out := make([]State, len(p.servers))
 	for i, s := range p.servers {
 		out[i] = State{
-			ID: s.ID, Address: s.Address, InFlight: s.inFlight, Pending: s.allPending(), Pace: s.pace,
-			Failures: s.failures, Aside: now.Before(s.asideUntil), Down: s.down, Cold: now.Before(s.ColdUntil),
-			Slowed: p.slowed(s, now), Slowness: s.slowness,
+			ID: s.ID, Address: s.Address, InFlight: s.inFlight, Pending: s.totalPending(), Pace: s.latencyFactor,
+			Failures: s.failureRate, Aside: now.Before(s.ejectedUntil), Down: s.down, Cold: now.Before(s.ColdUntil),
+			Slowed: p.serverStall(s, now), Slowness: s.gapFactor,
 		}
 	}
 	return out
 }
 
-// RecordDown takes in that nothing listens at the server of a placement.
+// RecordDown records that the server of a placement accepts no connections.
 func (p *Pool) RecordDown(pl *Placement, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pl.server.judge(OutcomeDown, p.settings.Engine, now)
+	pl.server.recordOutcome(OutcomeDown, p.settings.Engine, now)
 }
