--- a/coordination/loadhub/loadhub.go
+++ b/coordination/loadhub/loadhub.go
@@ -84,7 +84,7 @@
 type Peer struct {
 	ID, Domain string
 	Address    netip.AddrPort
-	Link       int // rate of its machine's link in Mbit/s; 0 when not known
+	LinkMbps   int // rate of its machine's link in Mbit/s; 0 when not known
 }
 
 // Exchange is the state of one instance in the exchange of load reports. It is not safe for
@@ -142,7 +142,7 @@
 
 // New returns the exchange of an instance that knows no others.
 func New(id, domain string, link int) *Exchange {
-	return &Exchange{self: Peer{ID: id, Domain: domain, Link: link}, reports: make(map[string]*memberReport), sums: make(map[string]*domainSum)}
+	return &Exchange{self: Peer{ID: id, Domain: domain, LinkMbps: link}, reports: make(map[string]*memberReport), sums: make(map[string]*domainSum)}
 }
 
 // SetPeers replaces the list of the other live instances of the region.
@@ -174,7 +174,7 @@
 func hubsOf(members []Peer) []Peer {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b Peer) int {
-		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(hubScore(b.ID), hubScore(a.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(hubScore(b.ID), hubScore(a.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	return ranked[:min(len(ranked), hubsPerDomain)]
 }
--- a/instance/routed/members.go
+++ b/instance/routed/members.go
@@ -206,7 +206,7 @@
 			regional = append(regional, m.Entry.GetId())
 			if address, err := netip.ParseAddrPort(m.Entry.GetRelayAddress()); err == nil && m.Entry.GetId() != n.settings.ID {
 				peers = append(peers, loadhub.Peer{
-					ID: m.Entry.GetId(), Domain: m.Entry.GetDomain(), Address: address, Link: int(m.Entry.GetLinkMbps()),
+					ID: m.Entry.GetId(), Domain: m.Entry.GetDomain(), Address: address, LinkMbps: int(m.Entry.GetLinkMbps()),
 				})
 			}
 		}
