--- a/coordination/loadhub/loadhub.go
+++ b/coordination/loadhub/loadhub.go
@@ -84,7 +84,7 @@
 type Peer struct {
 	ID, Domain string
 	Address    netip.AddrPort
-	LinkMbps   int // rate of its machine's link in Mbit/s; 0 when not known
+	LinkMbps   int // of its machine; 0 when not known
 }
 
 // Exchange is the state of one instance in the exchange of load reports. It is not safe for
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -129,7 +129,7 @@
 
 // The shared segments of a prompt are cached by one server, which is busy. The next request
 // with them goes to an idle server, which fetches them from the busy one, where servers
-// exchange cached tokens.
+// exchange cached tokens; where they do not, it waits at the busy one as long as that is faster.
 func TestFetchFromTheCacheHolder(t *testing.T) {
 	p := New()
 	p.Update(Settings{Engine: true, Slots: 8, CacheTokens: 200_000, FetchSecondsPerToken: 2e-6}, newEntries(2))
