--- a/cmd/basilroute/demo.go
+++ b/cmd/basilroute/demo.go
@@ -75,11 +75,11 @@
 	}
 	fleet, err := localfleet.Start(localfleet.Config{
 		Domains: []localfleet.Domain{
-			{Region: "suva-a", Name: "suva-a-1", Instances: 2, Engines: 3, Plain: 1},
+			{Region: "suva-a", Name: "suva-a-1", Instances: 2, Engines: 3, PlainServers: 1},
 			{Region: "suva-a", Name: "suva-a-2", Instances: 2, Engines: 3},
-			{Region: "labasa-a", Name: "labasa-a-1", Instances: 1, Engines: 2, Plain: 1},
+			{Region: "labasa-a", Name: "labasa-a-1", Instances: 1, Engines: 2, PlainServers: 1},
 			{Region: "labasa-a", Name: "labasa-a-2", Instances: 1, Engines: 2},
-			{Region: "lakeba-a", Name: "lakeba-a-1", Instances: 2, Engines: 2, Plain: 1},
+			{Region: "lakeba-a", Name: "lakeba-a-1", Instances: 2, Engines: 2, PlainServers: 1},
 		},
 		ModelService: "notice-writer", PlainService: "recall-ledger", Engine: engine.DefaultConfig(), Log: log,
 	})
@@ -121,7 +121,7 @@
 			return err
 		}
 	}
-	callers, _, operators := d.fleet.Instances[d.fleet.Order[0]].Addresses()
+	callers, _, operators := d.fleet.Instances[d.fleet.StartOrder[0]].Addresses()
 	d.url, d.admin = "http://"+callers, "http://"+operators
 	start := time.Now()
 	err := d.fleet.Await(ctx, func(i *instance.Instance) bool {
--- a/cmd/basilroute/loadfleet.go
+++ b/cmd/basilroute/loadfleet.go
@@ -29,20 +29,20 @@
 	"recall-desk": {
 		ModelService: "notice-writer", PlainService: "recall-ledger",
 		Domains: []localfleet.Domain{
-			{Region: "suva-a", Name: "suva-a-1", Instances: 2, Engines: 3, Plain: 1},
+			{Region: "suva-a", Name: "suva-a-1", Instances: 2, Engines: 3, PlainServers: 1},
 			{Region: "suva-a", Name: "suva-a-2", Instances: 2, Engines: 3},
-			{Region: "labasa-a", Name: "labasa-a-1", Instances: 1, Engines: 2, Plain: 1},
+			{Region: "labasa-a", Name: "labasa-a-1", Instances: 1, Engines: 2, PlainServers: 1},
 			{Region: "labasa-a", Name: "labasa-a-2", Instances: 1, Engines: 2},
-			{Region: "lakeba-a", Name: "lakeba-a-1", Instances: 2, Engines: 2, Plain: 1},
+			{Region: "lakeba-a", Name: "lakeba-a-1", Instances: 2, Engines: 2, PlainServers: 1},
 		},
 	},
 	"guild": {
 		ModelService: "basil-lm", PlainService: "guild-desk",
 		Domains: []localfleet.Domain{
-			{Region: "fraser-a", Name: "fraser-a-1", Instances: 2, Engines: 3, Plain: 1},
+			{Region: "fraser-a", Name: "fraser-a-1", Instances: 2, Engines: 3, PlainServers: 1},
 			{Region: "fraser-a", Name: "fraser-a-2", Instances: 2, Engines: 3},
-			{Region: "okanagan-a", Name: "okanagan-a-1", Instances: 2, Engines: 2, Plain: 1},
-			{Region: "island-a", Name: "island-a-1", Instances: 2, Engines: 2, Plain: 1},
+			{Region: "okanagan-a", Name: "okanagan-a-1", Instances: 2, Engines: 2, PlainServers: 1},
+			{Region: "island-a", Name: "island-a-1", Instances: 2, Engines: 2, PlainServers: 1},
 		},
 	},
 }
@@ -81,7 +81,7 @@
 		return nil, nil, err
 	}
 	var seeds []string
-	for _, id := range fleet.Order {
+	for _, id := range fleet.StartOrder {
 		callers, _, _ := fleet.Instances[id].Addresses()
 		seeds = append(seeds, "http://"+callers)
 	}
--- a/e2e/inprocess/fleet_test.go
+++ b/e2e/inprocess/fleet_test.go
@@ -41,7 +41,7 @@
 	f, err := localfleet.Start(localfleet.Config{
 		Domains: []localfleet.Domain{
 			{Region: "fraser-a", Name: "fraser-a-1", Instances: 2},
-			{Region: "fraser-a", Name: "fraser-a-2", Instances: 2, Engines: 1, Plain: 1},
+			{Region: "fraser-a", Name: "fraser-a-2", Instances: 2, Engines: 1, PlainServers: 1},
 		},
 		ModelService: modelService, PlainService: plainService,
 		Engine: engine.DefaultConfig(), Log: slog.New(slog.DiscardHandler),
@@ -73,7 +73,7 @@
 	return fleet
 }
 
-func (f *testFleet) plain() *plain.Service  { return f.Plain["fraser-a-2-plain-1"] }
+func (f *testFleet) plain() *plain.Service  { return f.PlainServices["fraser-a-2-plain-1"] }
 func (f *testFleet) engine() *engine.Engine { return f.Engines["fraser-a-2-engine-1"] }
 
 func (f *testFleet) url(id string) string {
--- a/e2e/inprocess/once_test.go
+++ b/e2e/inprocess/once_test.go
@@ -48,7 +48,7 @@
 // again: the claim stands, and the order ran once.
 func TestLostAnswerIsNotRunAgain(t *testing.T) {
 	f := startFleet(t)
-	f.plain().SetFaults(plain.Faults{LoseAnswers: 1})
+	f.plain().SetFaults(plain.Faults{LoseResponses: 1})
 	key := idempotencyKey(t)
 	if got := f.buy("fraser-a-1-entry-1", "resin", idempotency, key); got.status != http.StatusBadGateway || got.Run != "unknown" {
 		t.Errorf("%d %s", got.status, got.body)
@@ -92,12 +92,12 @@
 // nonce, and the order runs, once.
 func TestClaimWithLostAnswerIsSettled(t *testing.T) {
 	f := startFleet(t)
-	f.Platform.SetFaults(platform.Faults{LoseAnswers: 2}) // the lease and the claim
+	f.Platform.SetFaults(platform.Faults{LoseResponses: 2}) // the lease and the claim
 	if got := f.buy("fraser-a-1-entry-1", "resin", idempotency, idempotencyKey(t)); got.status != http.StatusOK && got.Run != "not_run" {
 		t.Errorf("%d %s", got.status, got.body)
 	}
 	key := idempotencyKey(t)
-	f.Platform.SetFaults(platform.Faults{LoseAnswers: 1})
+	f.Platform.SetFaults(platform.Faults{LoseResponses: 1})
 	if got := f.buy("fraser-a-1-entry-1", "pigment", idempotency, key); got.status != http.StatusOK {
 		t.Errorf("%d %s", got.status, got.body)
 	}
--- a/e2e/inprocess/whole_test.go
+++ b/e2e/inprocess/whole_test.go
@@ -151,7 +151,7 @@
 // of a forward.
 func TestCrossedFramesThroughInstances(t *testing.T) {
 	f := startFleet(t)
-	f.engine().SetFaults(engine.Faults{CrossFrames: true, RepeatFrames: true, CutAfter: 30, CutTimes: 2})
+	f.engine().SetFaults(engine.Faults{ForeignFrames: true, RepeatFrames: true, CutAfter: 30, MaxCuts: 2})
 	for id := range f.Instances {
 		got := f.send(id, "/v1/completions", prompt(50, false))
 		if got.status != http.StatusOK || !strings.Contains(got.body, wholeText(50)) || strings.Contains(got.body, "not yours") {
--- a/instance/fleet_test.go
+++ b/instance/fleet_test.go
@@ -149,7 +149,7 @@
 		t.Errorf("the stream ended with %q, %v", rest, err)
 	}
 	f.await("the cancel", func() bool { return f.Engines["south-1-engine-1"].Stats().Cancelled > 0 })
-	for _, id := range f.Order {
+	for _, id := range f.StartOrder {
 		if status, answer := f.ask(id); status != http.StatusUnauthorized || !strings.Contains(answer, "key_withdrawn") {
 			t.Errorf("%s: %d %s", id, status, answer)
 		}
@@ -196,14 +196,14 @@
 // have to take over and bring it into force.
 func TestWatchersDie(t *testing.T) {
 	f := startFleet(t, nil, north(4, 1))
-	for _, id := range f.Order {
+	for _, id := range f.StartOrder {
 		f.awaitServed(id)
 	}
 	var candidates []configwatch.Candidate
-	for _, id := range f.Order {
+	for _, id := range f.StartOrder {
 		candidates = append(candidates, configwatch.Candidate{ID: id})
 	}
-	for _, id := range f.Order {
+	for _, id := range f.StartOrder {
 		if configwatch.IsWatcher(id, candidates) {
 			f.Instances[id].Kill()
 			delete(f.Instances, id)
--- a/instance/leaving_test.go
+++ b/instance/leaving_test.go
@@ -55,7 +55,7 @@
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	f := startFleet(t, nil, north(2, 1))
 	leaving := f.addEngine("leaving")
-	for _, id := range f.Order {
+	for _, id := range f.StartOrder {
 		f.await("a request at the server", func() bool {
 			before := leaving.count.Load()
 			f.ask(id)
@@ -64,12 +64,12 @@
 	}
 	f.Platform.SetFaults(outage)
 	leaving.SetFaults(engine.Faults{Leaving: true})
-	for _, id := range f.Order {
+	for _, id := range f.StartOrder {
 		f.await("the server's report", func() bool { return f.Instances[id].KnowsLeaving("writer", "leaving") })
 	}
 	before := leaving.count.Load()
 	for n := range 200 {
-		if status, answer := f.ask(f.Order[n%len(f.Order)]); status != http.StatusOK {
+		if status, answer := f.ask(f.StartOrder[n%len(f.StartOrder)]); status != http.StatusOK {
 			t.Fatalf("%d %s", status, answer)
 		}
 	}
--- a/instance/routed/testfleet_test.go
+++ b/instance/routed/testfleet_test.go
@@ -239,7 +239,7 @@
 // sent returns the bytes that all links have carried.
 func (f *testFleet) sent() (bytes int64) {
 	for _, m := range f.links {
-		bytes += m.Sent()
+		bytes += m.BytesSent()
 	}
 	return bytes
 }
--- a/loadgen/answer.go
+++ b/loadgen/answer.go
@@ -15,12 +15,12 @@
 
 // checker compares an answer with what the engine stand-in says to a prompt.
 type checker struct {
-	mark engine.Mark
+	mark engine.PromptHash
 	next int
 	bad  bool
 }
 
-func newChecker(prompt string) *checker { return &checker{mark: engine.MarkOf(prompt)} }
+func newChecker(prompt string) *checker { return &checker{mark: engine.HashPrompt(prompt)} }
 
 func (c *checker) add(text string) {
 	for len(text) > 0 {
--- a/localfleet/badinput_test.go
+++ b/localfleet/badinput_test.go
@@ -28,7 +28,7 @@
 func startSingle(t *testing.T) *single {
 	t.Helper()
 	fleet, err := Start(Config{
-		Domains:      []Domain{{Region: "suva-a", Name: "suva-a-1", Instances: 1, Engines: 1, Plain: 1}},
+		Domains:      []Domain{{Region: "suva-a", Name: "suva-a-1", Instances: 1, Engines: 1, PlainServers: 1}},
 		ModelService: "notice-writer", PlainService: "recall-ledger",
 		Engine: engine.DefaultConfig(), Log: slog.New(slog.DiscardHandler),
 	})
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	callers, _, _ := fleet.Instances[fleet.Order[0]].Addresses()
+	callers, _, _ := fleet.Instances[fleet.StartOrder[0]].Addresses()
 	return &single{Fleet: fleet, t: t, url: "http://" + callers, key: presented}
 }
 
@@ -158,7 +158,7 @@
 			t.Errorf("%s ran %d generations", id, n)
 		}
 	}
-	for id, p := range s.Plain {
+	for id, p := range s.PlainServices {
 		if n := p.Received(); n != 0 {
 			t.Errorf("%s received %d operations", id, n)
 		}
--- a/localfleet/localfleet.go
+++ b/localfleet/localfleet.go
@@ -30,11 +30,11 @@
 
 // Domain is a failure domain to run.
 type Domain struct {
-	Region    string
-	Name      string
-	Instances int
-	Engines   int
-	Plain     int
+	Region       string
+	Name         string
+	Instances    int
+	Engines      int
+	PlainServers int
 }
 
 // Config describes a fleet.
@@ -49,14 +49,14 @@
 
 // Fleet is a running deployment.
 type Fleet struct {
-	Platform  *platform.Server
-	URL       string // of the platform
-	Store     *transport.Client
-	Engines   map[string]*engine.Engine
-	Backends  map[string]string // URLs of the backend servers by id
-	Plain     map[string]*plain.Service
-	Instances map[string]*instance.Instance
-	Order     []string // ids of the instances as they were started
+	Platform      *platform.Server
+	URL           string // of the platform
+	Store         *transport.Client
+	Engines       map[string]*engine.Engine
+	Backends      map[string]string // URLs of the backend servers by id
+	PlainServices map[string]*plain.Service
+	Instances     map[string]*instance.Instance
+	StartOrder    []string // ids of the instances as they were started
 
 	config  Config
 	mu      sync.Mutex
@@ -67,7 +67,7 @@
 func Start(config Config) (*Fleet, error) {
 	f := &Fleet{
 		Platform: platform.New(), config: config,
-		Engines: make(map[string]*engine.Engine), Backends: make(map[string]string), Plain: make(map[string]*plain.Service),
+		Engines: make(map[string]*engine.Engine), Backends: make(map[string]string), PlainServices: make(map[string]*plain.Service),
 		Instances: make(map[string]*instance.Instance),
 	}
 	if err := f.start(); err != nil {
@@ -124,10 +124,10 @@
 			return err
 		}
 	}
-	for n := range d.Plain {
+	for n := range d.PlainServers {
 		id := fmt.Sprintf("%s-plain-%d", d.Name, n+1)
-		f.Plain[id] = plain.New()
-		handler, err := f.Plain[id].Handler()
+		f.PlainServices[id] = plain.New()
+		handler, err := f.PlainServices[id].Handler()
 		if err != nil {
 			return err
 		}
@@ -172,7 +172,7 @@
 	})
 	i.Start()
 	f.Instances[id] = i
-	f.Order = append(f.Order, id)
+	f.StartOrder = append(f.StartOrder, id)
 	return i, nil
 }
 
--- a/localfleet/metrics_test.go
+++ b/localfleet/metrics_test.go
@@ -15,7 +15,7 @@
 	s.send(request{method: http.MethodPost, path: completions, key: s.key, body: `{"model":"notice-writer","prompt":"x","max_tokens":5,"stream":true}`})
 	s.send(request{method: http.MethodPost, path: withdraw, key: s.key, body: `{"id":"7"}`})
 	s.send(request{method: http.MethodPost, path: completions, body: `{}`})
-	_, _, operators := s.Instances[s.Order[0]].Addresses()
+	_, _, operators := s.Instances[s.StartOrder[0]].Addresses()
 	resp, err := http.Get("http://" + operators + "/metrics")
 	if err != nil {
 		t.Fatal(err)
--- a/localfleet/poison_test.go
+++ b/localfleet/poison_test.go
@@ -123,7 +123,7 @@
 	f := poisonFleet(t)
 	var innocent sync.WaitGroup
 	for n := range 12 {
-		i := f.Instances[f.Order[n%len(f.Order)]]
+		i := f.Instances[f.StartOrder[n%len(f.StartOrder)]]
 		innocent.Go(func() {
 			a, err := f.complete(i, fmt.Sprintf("question %d", n), 60)
 			if err != nil || a.Status != http.StatusOK || a.Usage.CompletionTokens != 60 {
@@ -133,7 +133,7 @@
 	}
 	var last answer
 	for range 2 {
-		for _, id := range f.Order {
+		for _, id := range f.StartOrder {
 			var err error
 			if last, err = f.complete(f.Instances[id], "the poison", 10); err != nil {
 				t.Fatal(err)
@@ -157,7 +157,7 @@
 	f := poisonFleet(t)
 	var copies sync.WaitGroup
 	for n := range 12 {
-		i := f.Instances[f.Order[n%len(f.Order)]]
+		i := f.Instances[f.StartOrder[n%len(f.StartOrder)]]
 		copies.Go(func() {
 			if a, err := f.complete(i, "the poison", 10); err != nil || a.Status == http.StatusOK {
 				t.Errorf("copy %d: %+v, %v", n, a, err)
@@ -167,10 +167,10 @@
 	copies.Wait()
 	before := f.crashes()
 	t.Logf("%d crashes", before)
-	if before > int64(len(f.Order))+1 {
-		t.Errorf("%d crashes with copies at %d instances", before, len(f.Order))
+	if before > int64(len(f.StartOrder))+1 {
+		t.Errorf("%d crashes with copies at %d instances", before, len(f.StartOrder))
 	}
-	for _, id := range f.Order {
+	for _, id := range f.StartOrder {
 		if a, err := f.complete(f.Instances[id], "the poison", 10); err != nil || a.Code != "quarantined" {
 			t.Errorf("%s: %+v, %v", id, a, err)
 		}
@@ -189,7 +189,7 @@
 		for _, id := range []string{"suva-a-1-engine-1", "suva-a-1-engine-2", "labasa-a-1-engine-1"} {
 			f.Engines[id].SetFaults(engine.Faults{ResetAfterRead: 1})
 		}
-		for _, id := range f.Order {
+		for _, id := range f.StartOrder {
 			a, err := f.complete(f.Instances[id], "a question", 5)
 			if err != nil || a.Status != http.StatusOK {
 				t.Fatalf("%s: %+v, %v", id, a, err)
--- a/localfleet/quota_test.go
+++ b/localfleet/quota_test.go
@@ -100,7 +100,7 @@
 			t.Errorf("%s affords nothing", id)
 		}
 	}
-	f.remove(f.Order[0]).Kill()
+	f.remove(f.StartOrder[0]).Kill()
 	f.await(t, "minting of the two that are left", func() bool { return f.minting() >= 1 })
 }
 
@@ -109,7 +109,7 @@
 func TestKilledHoldersSlotIsTaken(t *testing.T) {
 	t.Parallel()
 	f := threeInstances(t)
-	f.remove(f.Order[0]).Kill()
+	f.remove(f.StartOrder[0]).Kill()
 	f.await(t, "three slots on two instances", func() bool { return f.minting() == 3 })
 }
 
@@ -118,7 +118,7 @@
 func TestStoppedHoldersSlotIsTaken(t *testing.T) {
 	t.Parallel()
 	f := threeInstances(t)
-	if err := f.remove(f.Order[0]).Stop(t.Context()); err != nil {
+	if err := f.remove(f.StartOrder[0]).Stop(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "three slots on two instances", func() bool { return f.minting() == 3 })
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -18,7 +18,7 @@
 	id        string
 	attempt   int
 	prompt    string
-	mark      Mark
+	mark      PromptHash
 	priority  int
 	want      int // output tokens
 	finish    string
@@ -38,28 +38,28 @@
 	g.changed = make(chan struct{})
 }
 
-// Mark identifies a prompt in the engine's answers.
-type Mark uint64
+// PromptHash identifies a prompt in the engine's answers.
+type PromptHash uint64
 
 // markPadding is longer than a block, so that the last whole block covers all
 // of the prompt and prompts that share a prefix still get answers of their own.
 const markPadding = tokens.BlockTokens * 8
 
-// MarkOf returns the mark of a prompt.
-func MarkOf(prompt string) Mark {
+// HashPrompt returns the mark of a prompt.
+func HashPrompt(prompt string) PromptHash {
 	blocks := tokens.AppendBlocks(nil, prompt+string(make([]byte, markPadding)))
-	return Mark(blocks[len(blocks)-1] & 0xffffff)
+	return PromptHash(blocks[len(blocks)-1] & 0xffffff)
 }
 
 // Token returns the text of the i-th output token.
-func (m Mark) Token(i int) string {
+func (m PromptHash) Token(i int) string {
 	return strconv.FormatUint(uint64(m), 16) + "-" + strconv.Itoa(i) + " "
 }
 
 // Token returns the text of the i-th output token for a prompt, so that a test
 // can tell a caller's own answer from another's.
 func Token(prompt string, i int) string {
-	return MarkOf(prompt).Token(i)
+	return HashPrompt(prompt).Token(i)
 }
 
 // run executes steps until the engine closes.
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -40,17 +40,17 @@
 
 // Faults are the failures to inject.
 type Faults struct {
-	Delay          time.Duration `json:"delay"`            // before each answer begins, nanoseconds in JSON
-	CrashOn        string        `json:"crash_on"`         // a prompt that holds this text crashes the engine
-	ResetAfterRead int           `json:"reset_after_read"` // the next requests start, then lose their connection
-	CutAfter       int64         `json:"cut_after"`        // connections end after this many frames; 0 is off
-	CutTimes       int           `json:"cut_times"`        // how often CutAfter strikes
-	CrossFrames    bool          `json:"cross_frames"`     // frames of another request are mixed in
-	RepeatFrames   bool          `json:"repeat_frames"`    // every frame is sent twice
-	IgnoreFencing  bool          `json:"ignore_fencing"`   // old orders are obeyed
-	LoadLag        time.Duration `json:"load_lag"`         // age of load reports, nanoseconds in JSON
-	EventGap       int64         `json:"event_gap"`        // every n-th cache event is missing; 0 is off
-	Leaving        bool          `json:"leaving"`          // reports itself as leaving
+	Delay               time.Duration `json:"delay"`            // before each answer begins, nanoseconds in JSON
+	CrashOn             string        `json:"crash_on"`         // a prompt that holds this text crashes the engine
+	ResetAfterRead      int           `json:"reset_after_read"` // the next requests start, then lose their connection
+	CutAfter            int64         `json:"cut_after"`        // connections end after this many frames; 0 is off
+	MaxCuts             int           `json:"cut_times"`        // how often CutAfter strikes
+	ForeignFrames       bool          `json:"cross_frames"`     // frames of another request are mixed in
+	RepeatFrames        bool          `json:"repeat_frames"`    // every frame is sent twice
+	IgnoreFencing       bool          `json:"ignore_fencing"`   // old orders are obeyed
+	LoadLag             time.Duration `json:"load_lag"`         // age of load reports, nanoseconds in JSON
+	DropCacheEventEvery int64         `json:"event_gap"`        // every n-th cache event is missing; 0 is off
+	Leaving             bool          `json:"leaving"`          // reports itself as leaving
 }
 
 // Stats counts what an engine did.
@@ -60,7 +60,7 @@
 	Crashes   int64         `json:"crashes"`
 	Prefilled int64         `json:"prefilled"` // prompt tokens computed
 	Generated int64         `json:"generated"` // output tokens
-	Busy      time.Duration `json:"busy"`
+	BusyTime  time.Duration `json:"busy"`
 	KeysSeen  int64         `json:"keys_seen"` // requests that carried a caller's key
 }
 
@@ -133,7 +133,7 @@
 	defer e.mu.Unlock()
 	return Stats{
 		Started: e.started, Cancelled: e.cancels, Crashes: e.crashes, Prefilled: e.prefilled,
-		Generated: e.generated, Busy: e.busy, KeysSeen: e.keysSeen,
+		Generated: e.generated, BusyTime: e.busy, KeysSeen: e.keysSeen,
 	}
 }
 
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -117,7 +117,7 @@
 
 func (e *Engine) enqueue(req *engineapi.GenerateRequest) *generation {
 	g := &generation{
-		id: req.RequestID, attempt: req.Attempt, prompt: req.Prompt, mark: MarkOf(req.Prompt), priority: req.Priority,
+		id: req.RequestID, attempt: req.Attempt, prompt: req.Prompt, mark: HashPrompt(req.Prompt), priority: req.Priority,
 		want: req.MaxTokens, finish: frame.FinishLength, changed: make(chan struct{}),
 	}
 	if e.config.OutputTokens > 0 && e.config.OutputTokens < g.want {
@@ -158,7 +158,7 @@
 	defer e.mu.Unlock()
 	events := []engineapi.CacheEvent{}
 	for _, event := range e.cache.events {
-		missing := e.faults.EventGap > 0 && event.Seq%e.faults.EventGap == 0
+		missing := e.faults.DropCacheEventEvery > 0 && event.Seq%e.faults.DropCacheEventEvery == 0
 		if event.Seq > p.After.Or(0) && !missing {
 			events = append(events, event)
 		}
@@ -246,7 +246,7 @@
 	if r.faults.CutAfter > 0 && r.sent >= r.faults.CutAfter && r.cut() {
 		panic(http.ErrAbortHandler)
 	}
-	if r.faults.CrossFrames {
+	if r.faults.ForeignFrames {
 		foreign := *part
 		foreign.RequestID, foreign.Text, foreign.Finish = "foreign", "not yours ", ""
 		r.pending = foreign.AppendLine(r.pending[:0])
@@ -263,9 +263,9 @@
 func (r *frameReader) cut() bool {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
-	if r.engine.faults.CutTimes <= 0 {
+	if r.engine.faults.MaxCuts <= 0 {
 		return false
 	}
-	r.engine.faults.CutTimes--
+	r.engine.faults.MaxCuts--
 	return true
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -74,8 +74,8 @@
 	return &conn{read: back, write: there, local: addr(m.address), remote: addr(address)}, nil
 }
 
-// Sent returns the bytes that the machine's link has carried out.
-func (m *Machine) Sent() int64 { return m.out.total() }
+// BytesSent returns the bytes that the machine's link has carried out.
+func (m *Machine) BytesSent() int64 { return m.out.total() }
 
 // Accept implements net.Listener.
 func (m *Machine) Accept() (net.Conn, error) {
--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -36,8 +36,8 @@
 		if took, want := time.Since(began), transfers*time.Second; took < want || took > want+100*time.Millisecond {
 			t.Errorf("took %v, want %v", took, want)
 		}
-		if sender.Sent() != transfers*size {
-			t.Errorf("%d bytes sent", sender.Sent())
+		if sender.BytesSent() != transfers*size {
+			t.Errorf("%d bytes sent", sender.BytesSent())
 		}
 	})
 }
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -22,7 +22,7 @@
 type Faults struct {
 	Delay          time.Duration `json:"delay"`            // before an operation runs, nanoseconds in JSON
 	ResetAfterRead int           `json:"reset_after_read"` // the next requests are read, not run, and their connection reset
-	LoseAnswers    int           `json:"lose_answers"`     // the next requests run and their answers are lost
+	LoseResponses  int           `json:"lose_answers"`     // the next requests run and their answers are lost
 	CrashOn        string        `json:"crash_on"`         // a body with this id crashes the service
 	RestartAfter   time.Duration `json:"restart_after"`    // after a crash, nanoseconds in JSON
 	Leaving        bool          `json:"leaving"`          // reports itself as leaving and refuses operations
@@ -209,9 +209,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[r]++
-	lose = s.faults.LoseAnswers > 0
+	lose = s.faults.LoseResponses > 0
 	if lose {
-		s.faults.LoseAnswers--
+		s.faults.LoseResponses--
 	}
 	return s.runs[r], lose
 }
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -16,10 +16,10 @@
 
 // Faults are the failures to inject.
 type Faults struct {
-	Outage      bool          `json:"outage"`       // every call fails
-	Delay       time.Duration `json:"delay"`        // added to every call, nanoseconds in JSON
-	LoseAnswers int           `json:"lose_answers"` // the next writes take effect, their answers are lost
-	ListLag     time.Duration `json:"list_lag"`     // age of the list of instances, nanoseconds in JSON
+	Outage        bool          `json:"outage"`       // every call fails
+	Delay         time.Duration `json:"delay"`        // added to every call, nanoseconds in JSON
+	LoseResponses int           `json:"lose_answers"` // the next writes take effect, their answers are lost
+	ListLag       time.Duration `json:"list_lag"`     // age of the list of instances, nanoseconds in JSON
 }
 
 // Server is the stand-in. Use Handler to serve it.
@@ -143,9 +143,9 @@
 // finishWrite loses the answer of a write that took effect when that is injected.
 func (s *Server) finishWrite() {
 	s.mu.Lock()
-	lose := s.faults.LoseAnswers > 0
+	lose := s.faults.LoseResponses > 0
 	if lose {
-		s.faults.LoseAnswers--
+		s.faults.LoseResponses--
 	}
 	s.mu.Unlock()
 	if lose {
--- a/transport/backend/client_test.go
+++ b/transport/backend/client_test.go
@@ -58,7 +58,7 @@
 	service, address := plainService(t)
 	client := New()
 	defer client.Close()
-	service.SetFaults(plain.Faults{LoseAnswers: 1})
+	service.SetFaults(plain.Faults{LoseResponses: 1})
 	_, err := client.Run(t.Context(), address, order("x"))
 	if got := refusal.From(err); got.Run != refusal.Unknown {
 		t.Errorf("refused with %v", err)
--- a/transport/dispatch/stream_test.go
+++ b/transport/dispatch/stream_test.go
@@ -66,7 +66,7 @@
 // with another's. The caller gets the whole text once, from one generation.
 func TestCutStreamIsResumedOnItsEngine(t *testing.T) {
 	l, server, e := localEngine(t)
-	e.SetFaults(engine.Faults{CutAfter: 5, CutTimes: 3, RepeatFrames: true, CrossFrames: true})
+	e.SetFaults(engine.Faults{CutAfter: 5, MaxCuts: 3, RepeatFrames: true, ForeignFrames: true})
 	sink := newCollected()
 	const tokens = 40
 	if err := l.generate(t.Context(), localWork("r", tokens), server, sink); err != nil {
@@ -88,7 +88,7 @@
 // the answer broke, never that it is whole.
 func TestStreamThatStaysCutIsAnError(t *testing.T) {
 	l, server, e := localEngine(t)
-	e.SetFaults(engine.Faults{CutAfter: 1, CutTimes: 100})
+	e.SetFaults(engine.Faults{CutAfter: 1, MaxCuts: 100})
 	sink := newCollected()
 	err := l.generate(t.Context(), localWork("r", 40), server, sink)
 	if got := refusal.From(err); err == nil || got.Run != refusal.Unknown || sink.last.Finish != "" {
--- a/transport/platform/platform_test.go
+++ b/transport/platform/platform_test.go
@@ -43,17 +43,17 @@
 // effect: as a failure it would be applied twice or reported as somebody else's.
 func TestLostAnswersAreSettled(t *testing.T) {
 	server, client := open(t)
-	server.SetFaults(standin.Faults{LoseAnswers: 1})
+	server.SetFaults(standin.Faults{LoseResponses: 1})
 	created, err := client.Put(t.Context(), platform.Write{Key: "k", Value: []byte("1")})
 	if err != nil || created != 1 {
 		t.Fatalf("create: revision %d, %v", created, err)
 	}
-	server.SetFaults(standin.Faults{LoseAnswers: 1})
+	server.SetFaults(standin.Faults{LoseResponses: 1})
 	written, err := client.Put(t.Context(), platform.Write{Key: "k", Value: []byte("2"), ExpectRevision: created})
 	if err != nil || written != 2 {
 		t.Fatalf("write: revision %d, %v", written, err)
 	}
-	server.SetFaults(standin.Faults{LoseAnswers: 1})
+	server.SetFaults(standin.Faults{LoseResponses: 1})
 	deleted, err := client.Put(t.Context(), platform.Write{Key: "k", ExpectRevision: written, Delete: true})
 	if err != nil || deleted != 3 {
 		t.Fatalf("delete: revision %d, %v", deleted, err)
