--- a/transport/backend/cache.go
+++ b/transport/backend/cache.go
@@ -10,7 +10,7 @@
 	"github.com/basilroute/basilroute/protocol/tokens"
 )
 
-// CacheEvents asks an engine for its cache events after a sequence number.
+// CacheEvents returns the cache events of an engine after a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) ([]prefix.Event, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
--- a/transport/backend/client.go
+++ b/transport/backend/client.go
@@ -1,9 +1,8 @@
-// Package backend talks to backend servers: it dispatches generations and
-// operations, polls load, and cancels.
+// Package backend is the client of backend servers: it sends generations, operations and
+// orders, polls load and cache events, and cancels generations.
 //
-// A request is sent once. The HTTP client's own resending is off, because on a
-// kept-alive connection that dies it would send a request again that the server
-// may have run already.
+// A request is sent once. net/http would send a request again when a kept-alive connection
+// breaks, although the server may already have run it, so its own retry is switched off.
 package backend
 
 import (
@@ -23,16 +22,16 @@
 )
 
 const (
-	idlePerHost    = 64
-	dialTimeout    = time.Second
-	controlTimeout = 2 * time.Second
-	maxAnswerBytes = 16 << 20
+	maxIdleConnsPerHost = 64
+	dialTimeout         = time.Second
+	controlTimeout      = 2 * time.Second
+	maxResponseBytes    = 16 << 20
 	// RequestIDHeader carries the request id to plain services.
-	RequestIDHeader = "X-Request-Id"
-	accountHeader   = "X-Account"
-	viaHeader       = "X-Via"
-	keyHeader       = "Idempotency-Key"
-	maxErrorBytes   = 64 << 10
+	RequestIDHeader      = "X-Request-Id"
+	accountHeader        = "X-Account"
+	viaHeader            = "X-Via"
+	idempotencyKeyHeader = "Idempotency-Key"
+	maxErrorBytes        = 64 << 10
 )
 
 // Client is safe for concurrent use.
@@ -47,29 +46,28 @@
 		CheckRedirect: noRedirect,
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: idlePerHost,
+			MaxIdleConnsPerHost: maxIdleConnsPerHost,
 			IdleConnTimeout:     30 * time.Second,
 			DisableCompression:  true,
 		},
 	}}
 }
 
-// noRedirect hands a redirect back as the answer. Following it would send the
-// request a second time, and its data to a server that routing did not choose.
+// noRedirect returns a redirect as the response. Following it would send the request a
+// second time, and its data to a server that routing did not choose.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// once hides the body's type from net/http, so that it cannot rewind the body
-// and send the request again. Symptom without it: a purchase order with an
-// idempotency key runs twice when the server resets a kept-alive connection
-// after reading it. It suffices because net/http resends only requests without
-// a body or with GetBody set.
-type once struct{ io.Reader }
+// nonRewindable hides the type of a request body from net/http, so that it cannot rewind the
+// body and send the request again. Without it, a purchase order with an idempotency key runs
+// twice when the server resets a kept-alive connection after reading the order. Hiding the
+// type suffices because net/http retries only requests without a body or with GetBody set.
+type nonRewindable struct{ io.Reader }
 
 func post(ctx context.Context, url string, body []byte) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, once{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nonRewindable{bytes.NewReader(body)})
 	if err != nil {
 		return nil, errors.Wrap(err, "backend request")
 	}
@@ -78,9 +76,9 @@
 	return req, nil
 }
 
-// failure turns an error of the connection into a refusal. Only an error of
-// dialing proves that the server never saw the request.
-func failure(err error) *refusal.Refusal {
+// connectionRefusal converts a connection error to a refusal. Only a dial error proves that
+// the server never received the request.
+func connectionRefusal(err error) *refusal.Refusal {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return refusal.New(refusal.CodeBackendFailed, "backend server not reached")
@@ -111,28 +109,28 @@
 		req.Header.Set(viaHeader, op.Via)
 	}
 	if op.IdempotencyKey != "" {
-		req.Header.Set(keyHeader, op.IdempotencyKey)
+		req.Header.Set(idempotencyKeyHeader, op.IdempotencyKey)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, failure(err)
+		return nil, connectionRefusal(err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, answerRefusal(resp)
+		return nil, statusRefusal(resp)
 	}
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
-	if err != nil || len(answer) > maxAnswerBytes {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err != nil || len(body) > maxResponseBytes {
 		return nil, refusal.New(refusal.CodeBackendFailed, "the answer was cut").WithRun(refusal.Ran)
 	}
-	return answer, nil
+	return body, nil
 }
 
-// answerRefusal is what an error status of a backend server becomes. Only an
-// error code of the server's API proves that it did not begin: a bare 503 may
-// come from something in between, after the server began.
-func answerRefusal(resp *http.Response) *refusal.Refusal {
-	if didNotBegin(resp) {
+// statusRefusal converts an error status of a backend server to a refusal. Only an error code
+// of the server's API proves that the request was not started: a bare 503 may come from an
+// intermediary after the server started it.
+func statusRefusal(resp *http.Response) *refusal.Refusal {
+	if notStarted(resp) {
 		return refusal.New(refusal.CodeBackendFailed, "the backend server takes no work")
 	}
 	switch resp.StatusCode {
@@ -142,9 +140,9 @@
 	return refusal.New(refusal.CodeBackendFailed, "the backend server answered %d", resp.StatusCode).WithRun(refusal.Unknown)
 }
 
-// didNotBegin reads the code that engine.yaml and plain.yaml give to a request
-// that was not begun.
-func didNotBegin(resp *http.Response) bool {
+// notStarted reports whether the response has one of the error codes that engine.yaml and
+// plain.yaml define for a request that was not started.
+func notStarted(resp *http.Response) bool {
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		return false
 	}
@@ -152,14 +150,14 @@
 	if err != nil {
 		return false
 	}
-	var refused engineapi.Error
-	if err := refused.UnmarshalJSON(data); err != nil {
+	var apiError engineapi.Error
+	if err := apiError.UnmarshalJSON(data); err != nil {
 		return false
 	}
-	return refused.Code == engineapi.ErrorCodeLeaving || refused.Code == engineapi.ErrorCodeOverloaded
+	return apiError.Code == engineapi.ErrorCodeLeaving || apiError.Code == engineapi.ErrorCodeOverloaded
 }
 
-// EngineLoad asks an engine for its load.
+// EngineLoad polls the load of an engine.
 func (c *Client) EngineLoad(ctx context.Context, address string, now time.Time) (servers.Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -178,7 +176,7 @@
 	}, nil
 }
 
-// PlainLoad asks a plain service for its load.
+// PlainLoad polls the load of a plain service.
 func (c *Client) PlainLoad(ctx context.Context, address string, now time.Time) (servers.Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
--- a/transport/backend/client_test.go
+++ b/transport/backend/client_test.go
@@ -27,23 +27,22 @@
 	return service, serve(t, handler)
 }
 
-func order(id string) Operation {
+func purchaseOrder(id string) Operation {
 	return Operation{Name: "buy", RequestID: "r-" + id, Account: "a", Body: []byte(`{"id":"` + id + `"}`), IdempotencyKey: "0190b8a0-0000-7000-8000-000000000000"}
 }
 
-// The server reads a purchase order on a kept-alive connection and resets it.
-// The caller is told that the run state is unknown. net/http would send the
-// order again by itself, since it carries an Idempotency-Key; the server must
-// see it once.
+// The server reads a purchase order on a kept-alive connection and resets it. The caller must
+// be told that the run state is unknown. net/http would send the order again, since it
+// carries an Idempotency-Key; the server must receive it once.
 func TestResetConnectionIsNotResent(t *testing.T) {
 	service, address := plainService(t)
 	client := New()
 	defer client.Close()
-	if _, err := client.Run(t.Context(), address, order("warm")); err != nil {
+	if _, err := client.Run(t.Context(), address, purchaseOrder("warm")); err != nil {
 		t.Fatal(err)
 	}
 	service.SetFaults(plain.Faults{ResetAfterRead: 1})
-	_, err := client.Run(t.Context(), address, order("x"))
+	_, err := client.Run(t.Context(), address, purchaseOrder("x"))
 	if got := refusal.From(err); got.Code != refusal.CodeBackendFailed || got.Run != refusal.Unknown {
 		t.Errorf("refused with %v", err)
 	}
@@ -52,14 +51,14 @@
 	}
 }
 
-// A server runs an operation and its answer is lost: the caller must not be told
-// that it did not run.
+// A server runs an operation and its response is lost: the caller must not be told that the
+// operation did not run.
 func TestLostAnswerIsUnknown(t *testing.T) {
 	service, address := plainService(t)
 	client := New()
 	defer client.Close()
 	service.SetFaults(plain.Faults{LoseResponses: 1})
-	_, err := client.Run(t.Context(), address, order("x"))
+	_, err := client.Run(t.Context(), address, purchaseOrder("x"))
 	if got := refusal.From(err); got.Run != refusal.Unknown {
 		t.Errorf("refused with %v", err)
 	}
@@ -68,9 +67,9 @@
 	}
 }
 
-// A refusal says "not run" only on proof: nobody listened, or the server's API
-// says that it did not begin. A bare 503 may come from something in between
-// that lost the server's answer.
+// A refusal says "not run" only on proof: the server did not listen, or its API says that the
+// request was not started. A bare 503 may come from an intermediary that lost the server's
+// response.
 func TestRunStateNeedsProof(t *testing.T) {
 	client := New()
 	defer client.Close()
@@ -94,16 +93,15 @@
 		{"500", answer(500, `{"code":"leaving","message":""}`), refusal.Unknown},
 		{"422", answer(422, `{}`), refusal.Unknown},
 	} {
-		_, err := client.Run(t.Context(), c.address, order("x"))
+		_, err := client.Run(t.Context(), c.address, purchaseOrder("x"))
 		if got := refusal.From(err); err == nil || got.Run != c.want {
 			t.Errorf("%s: %v", c.what, err)
 		}
 	}
 }
 
-// A server answers with a redirect. Following it would hand the account's data
-// to a server that routing did not choose, or run the order a second time; its
-// target must see nothing.
+// A server responds with a redirect. Following it would send the account's data to a server
+// that routing did not choose, or run the order a second time; the target must receive nothing.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	var seen atomic.Int64
 	target := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { seen.Add(1) }))
@@ -111,7 +109,7 @@
 	defer client.Close()
 	for _, status := range []int{http.StatusFound, http.StatusSeeOther, http.StatusTemporaryRedirect, http.StatusPermanentRedirect} {
 		address := serve(t, http.RedirectHandler(target+"/v1/operations/buy", status))
-		_, err := client.Run(t.Context(), address, order("x"))
+		_, err := client.Run(t.Context(), address, purchaseOrder("x"))
 		if got := refusal.From(err); err == nil || got.Run != refusal.Unknown {
 			t.Errorf("%d: refused with %v", status, err)
 		}
@@ -121,12 +119,12 @@
 	}
 }
 
-// Requests to backend servers carry the headers of a list and no other, so that
-// no caller's key can pass, whatever header it came in.
+// Requests to backend servers carry only headers of an allow list, so that no caller's key can
+// reach a server in any header.
 func TestHeadersAreOnAList(t *testing.T) {
 	allowed := map[string]bool{
 		"Content-Type": true, "Content-Length": true, "User-Agent": true,
-		accountHeader: true, RequestIDHeader: true, viaHeader: true, keyHeader: true,
+		accountHeader: true, RequestIDHeader: true, viaHeader: true, idempotencyKeyHeader: true,
 	}
 	address := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		for name := range r.Header {
@@ -137,7 +135,7 @@
 	}))
 	client := New()
 	defer client.Close()
-	operation := order("x")
+	operation := purchaseOrder("x")
 	operation.Via = "v"
 	_, _ = client.Run(t.Context(), address, operation)
 	var stats StreamStats
--- a/transport/backend/order.go
+++ b/transport/backend/order.go
@@ -9,7 +9,7 @@
 	"github.com/basilroute/basilroute/protocol/engineapi"
 )
 
-// EngineState asks an engine what it was last ordered to do.
+// EngineState returns the last order that an engine applied.
 func (c *Client) EngineState(ctx context.Context, address string) (orders.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
--- a/transport/backend/size_test.go
+++ b/transport/backend/size_test.go
@@ -10,7 +10,7 @@
 	"github.com/basilroute/basilroute/standin/engine"
 )
 
-// benchServers starts engines that nobody uses.
+// benchServers starts idle engines and returns their addresses.
 func benchServers(b *testing.B, n int) []string {
 	b.Helper()
 	var urls []string
@@ -28,9 +28,9 @@
 	return urls
 }
 
-// bySize reports the processor time of one call of each server, both sides, over
-// the number of servers.
-func bySize(b *testing.B, call func(c *Client, url string) error) {
+// benchmarkByServerCount reports the processor time, client and servers together, of one call
+// to each server, for several numbers of servers.
+func benchmarkByServerCount(b *testing.B, call func(c *Client, url string) error) {
 	for _, n := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			urls := benchServers(b, n)
@@ -49,9 +49,9 @@
 	}
 }
 
-// BenchmarkSizeDomainServerPoll is a round of polls for load and cache events.
+// BenchmarkSizeDomainServerPoll measures a round of polls for load and cache events.
 func BenchmarkSizeDomainServerPoll(b *testing.B) {
-	bySize(b, func(c *Client, url string) error {
+	benchmarkByServerCount(b, func(c *Client, url string) error {
 		if _, err := c.EngineLoad(b.Context(), url, time.Now()); err != nil {
 			return err
 		}
@@ -60,10 +60,10 @@
 	})
 }
 
-// BenchmarkSizeDomainServerOrders is a round in which an issuer of orders reads
-// back what every engine obeys.
+// BenchmarkSizeDomainServerOrders measures a round in which an issuer of orders reads back
+// the order that every engine has applied.
 func BenchmarkSizeDomainServerOrders(b *testing.B) {
-	bySize(b, func(c *Client, url string) error {
+	benchmarkByServerCount(b, func(c *Client, url string) error {
 		_, err := c.EngineState(b.Context(), url)
 		return err
 	})
--- a/transport/backend/stream.go
+++ b/transport/backend/stream.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	lineBytes     = 4 << 10
-	maxFrameBytes = 256 << 10
+	lineBufferBytes = 4 << 10
+	maxFrameBytes   = 256 << 10
 )
 
-var lineReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, lineBytes) }}
+var lineReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, lineBufferBytes) }}
 
 // Generation is one attempt of a request on an engine.
 type Generation struct {
@@ -34,19 +34,19 @@
 	Via       string
 }
 
-// FrameFunc takes a frame. An error ends the stream and is returned as it is.
+// FrameFunc handles a frame. An error ends the stream and is returned unchanged.
 type FrameFunc func(f *frame.Frame) error
 
-// StreamStats counts frames that did not belong to the stream.
+// StreamStats counts frames that were dropped because they did not belong to the stream.
 type StreamStats struct {
 	Foreign  int64 // of another request or attempt
-	Repeated int64
+	Repeated int64 // received before
 }
 
-// Generate runs a generation and hands every frame on, in order and once each.
-// next is the first frame wanted; it rises as frames are handed on, so that a
-// stream that broke can be resumed. The error is a *refusal.Refusal, or what
-// handle returned.
+// Generate runs a generation and passes every frame to handle, in order and once each. next
+// is the sequence number of the next frame; it advances with each frame that handle gets, so
+// that an interrupted stream can be resumed. The error is a *refusal.Refusal, or what handle
+// returned.
 func (c *Client) Generate(ctx context.Context, address string, g Generation, next *int64, stats *StreamStats, handle FrameFunc) error {
 	resp, err := c.openStream(ctx, address, g, *next)
 	if err != nil {
@@ -74,18 +74,18 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, failure(err)
+		return nil, connectionRefusal(err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		return nil, answerRefusal(resp)
+		return nil, statusRefusal(resp)
 	}
 	return resp, nil
 }
 
-// readFrames drops frames of other requests and repeated ones. A gap means that
-// frames were lost: the stream counts as broken, since a caller must get the
-// whole answer or be told that it is not whole.
+// readFrames drops frames of other requests and duplicates. A gap in the sequence means that
+// frames were lost: the stream then counts as broken, since a caller must get the complete
+// response or an error.
 func readFrames(lines *bufio.Reader, g Generation, next *int64, stats *StreamStats, handle FrameFunc) error {
 	var f frame.Frame
 	for {
@@ -132,7 +132,7 @@
 	return long, err
 }
 
-// Cancel tells an engine that nobody waits for the generation any more.
+// Cancel tells an engine that the caller no longer waits for the generation.
 func (c *Client) Cancel(ctx context.Context, address, requestID string) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
--- a/transport/backend/stream_test.go
+++ b/transport/backend/stream_test.go
@@ -14,7 +14,7 @@
 
 const frameCount = 6
 
-func framesOf(requestID string, attempt int) []frame.Frame {
+func makeFrames(requestID string, attempt int) []frame.Frame {
 	frames := make([]frame.Frame, frameCount)
 	for i := range frames {
 		frames[i] = frame.Frame{RequestID: requestID, Attempt: attempt, Seq: int64(i), Text: fmt.Sprint(i), Tokens: 1}
@@ -23,13 +23,12 @@
 	return frames
 }
 
-// An engine's stream arrives with frames late, crossed with those of another
-// request or attempt, repeated, lost, or cut in the middle of a line. The caller
-// gets its own frames in order and once each. It gets them as a whole answer
-// only if they are one; every other end is an error.
+// An engine's stream arrives with frames reordered, mixed with those of another request or
+// attempt, duplicated, lost, or truncated in the middle of a line. The caller must get its own
+// frames in order and once each, and no error only if the response is complete.
 func TestMangledStreamIsWholeOrBroken(t *testing.T) {
-	own := framesOf("own", 2)
-	foreign := append(framesOf("other", 2), framesOf("own", 1)...)
+	own := makeFrames("own", 2)
+	foreign := append(makeFrames("other", 2), makeFrames("own", 1)...)
 	rapid.Check(t, func(t *rapid.T) {
 		var wire []byte
 		for _, f := range rapid.SliceOfN(rapid.SampledFrom(append(own, foreign...)), 0, 40).Draw(t, "frames") {
@@ -38,7 +37,7 @@
 		wire = wire[:rapid.IntRange(0, len(wire)).Draw(t, "cut")]
 		checkStream(t, wire)
 	})
-	for _, ordered := range [][]byte{wireOf(own), wireOf(foreign, own), wireOf(own[:3], own)} {
+	for _, ordered := range [][]byte{encodeFrames(own), encodeFrames(foreign, own), encodeFrames(own[:3], own)} {
 		rapid.Check(t, func(t *rapid.T) {
 			checkStream(t, ordered[:rapid.IntRange(0, len(ordered)).Draw(t, "cut")])
 			checkStream(t, ordered)
@@ -46,7 +45,7 @@
 	}
 }
 
-func wireOf(parts ...[]frame.Frame) []byte {
+func encodeFrames(parts ...[]frame.Frame) []byte {
 	var wire []byte
 	for _, part := range parts {
 		for _, f := range part {
@@ -67,7 +66,7 @@
 			t.Fatalf("frame %d is %+v", i, f)
 		}
 	}
-	if whole := len(got) == frameCount; whole != (err == nil) {
+	if complete := len(got) == frameCount; complete != (err == nil) {
 		t.Fatalf("%d frames, error %v", len(got), err)
 	}
 	if err != nil && refusal.From(err).Run != refusal.Unknown {
@@ -75,14 +74,14 @@
 	}
 }
 
-// A generation that somebody cancelled on its engine ends with a frame like a
-// whole answer's. The caller must get an error, not a short answer.
-func TestCancelledGenerationIsNotWhole(t *testing.T) {
-	frames := framesOf("own", 1)[:3]
+// A generation that was cancelled on its engine ends with a final frame, as a complete
+// response does. The caller must get an error, not a short response.
+func TestCancelledGenerationIsIncomplete(t *testing.T) {
+	frames := makeFrames("own", 1)[:3]
 	frames[2].Finish = frame.FinishCancelled
 	var stats StreamStats
 	next := int64(0)
-	err := readFrames(bufio.NewReader(bytes.NewReader(wireOf(frames))), Generation{RequestID: "own", Attempt: 1}, &next, &stats,
+	err := readFrames(bufio.NewReader(bytes.NewReader(encodeFrames(frames))), Generation{RequestID: "own", Attempt: 1}, &next, &stats,
 		func(*frame.Frame) error { return nil })
 	if err == nil || refusal.From(err).Code != refusal.CodeIncomplete {
 		t.Errorf("ended with %v", err)
