--- a/transport/claim/claim.go
+++ b/transport/claim/claim.go
@@ -1,4 +1,4 @@
-// Package claim creates and retracts the claims of package once in the store.
+// Package claim creates and retracts idempotency claims (package once) in the store.
 package claim
 
 import (
@@ -16,12 +16,12 @@
 )
 
 const (
-	claimTimeout   = 2 * time.Second        // for a claim, lost answers and all
-	comeBack       = 2 * time.Second        // told to callers when the store is out of reach
-	retractTimeout = 2 * time.Second        // while the caller waits
-	settleFor      = 30 * time.Second       // how long a claim of unknown fate is looked for
-	settlePause    = 500 * time.Millisecond // before the second look; doubled each time
-	maxSettling    = 1024
+	claimTimeout    = 2 * time.Second        // for a claim, including retries after lost responses
+	storeRetryAfter = 2 * time.Second        // Retry-After for callers when the store is unreachable
+	retractTimeout  = 2 * time.Second        // while the caller waits
+	settleTimeout   = 30 * time.Second       // how long a claim of unknown outcome is searched for
+	settleBackoff   = 500 * time.Millisecond // before the second lookup; doubled each time
+	maxSettleTasks  = 1024
 )
 
 // Store is the part of the platform's store that claims need.
@@ -31,7 +31,7 @@
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
 }
 
-// Request is what a claim is made for.
+// Request identifies the operation that a claim is made for.
 type Request struct {
 	Key       string // idempotency key as the caller sent it
 	Account   string
@@ -43,27 +43,27 @@
 
 // Claimer makes claims for one instance. It is safe for concurrent use.
 type Claimer struct {
-	store    Store
-	instance string
-	log      *slog.Logger
-	outcomes *once.Outcomes
-	stop     context.Context
-
-	mu       sync.Mutex
-	lease    once.Lease
-	settling int
-	tasks    sync.WaitGroup
+	store      Store
+	instance   string
+	log        *slog.Logger
+	outcomes   *once.Outcomes
+	background context.Context
+
+	mu          sync.Mutex
+	lease       once.Lease
+	settleTasks int
+	tasks       sync.WaitGroup
 }
 
 // New returns a claimer. Its background work ends with ctx.
 func New(ctx context.Context, store Store, instance string, log *slog.Logger) *Claimer {
-	return &Claimer{store: store, instance: instance, log: log, outcomes: once.NewOutcomes(), stop: ctx}
+	return &Claimer{store: store, instance: instance, log: log, outcomes: once.NewOutcomes(), background: ctx}
 }
 
 // Wait returns when all background work has ended.
 func (c *Claimer) Wait() { c.tasks.Wait() }
 
-// Handle is a claim that stands, made by this instance.
+// Handle is a stored claim that this instance created.
 type Handle struct {
 	claimer  *Claimer
 	key      string
@@ -71,9 +71,9 @@
 	revision int64
 }
 
-// Claim creates the claim, or returns why the request must not be dispatched.
-// Nothing has been dispatched when it refuses: the run state it gives speaks of
-// what other requests under the same key may have done.
+// Claim creates the claim, or returns why the request must not be dispatched. With an error,
+// this request has not been dispatched: the run state in the refusal describes what other
+// requests with the same key may have done.
 func (c *Claimer) Claim(ctx context.Context, r Request) (*Handle, error) {
 	key, refused := once.ParseKey(r.Key, time.Now())
 	if refused != nil {
@@ -82,41 +82,41 @@
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	hash := once.Hash(r.Service, r.Operation, r.Body)
-	held := &Handle{claimer: c, key: key.StoreKey(r.Account), nonce: uuid.NewString()}
+	handle := &Handle{claimer: c, key: key.StoreKey(r.Account), nonce: uuid.NewString()}
 	value := once.Claim{
-		Hash: hash, Nonce: held.nonce, Instance: c.instance, RequestID: r.RequestID, AtUnixMs: time.Now().UnixMilli(),
+		Hash: hash, Nonce: handle.nonce, Instance: c.instance, RequestID: r.RequestID, AtUnixMs: time.Now().UnixMilli(),
 	}
-	revision, err := c.create(ctx, held.key, value.Encode())
+	revision, err := c.create(ctx, handle.key, value.Encode())
 	switch {
 	case err == nil:
-		held.revision = revision
-		c.outcomes.Set(held.nonce, refusal.Unknown)
-		return held, nil
+		handle.revision = revision
+		c.outcomes.Set(handle.nonce, refusal.Unknown)
+		return handle, nil
 	case errors.Is(err, platform.ErrConflict):
-		return nil, c.standing(ctx, held.key, hash)
+		return nil, c.duplicateRefusal(ctx, handle.key, hash)
 	case errors.IsAny(err, errNoLease, platform.ErrRejected):
-		return nil, storeDown()
+		return nil, storeUnreachable()
 	}
-	c.settle(held)
-	return nil, storeDown()
+	c.settle(handle)
+	return nil, storeUnreachable()
 }
 
-func storeDown() *refusal.Refusal {
-	return refusal.New(refusal.CodeStoreDown, "the store is out of reach, so the operation cannot be claimed").After(comeBack)
+func storeUnreachable() *refusal.Refusal {
+	return refusal.New(refusal.CodeStoreDown, "the store is out of reach, so the operation cannot be claimed").After(storeRetryAfter)
 }
 
 var errNoLease = errors.New("no lease for claims")
 
-// create writes the claim. A lease that has ended in the meantime is replaced
-// once; nothing was written in that case.
+// create writes the claim. If the lease has expired in the meantime, nothing was written, and
+// create tries once more with a new lease.
 func (c *Claimer) create(ctx context.Context, key string, value []byte) (int64, error) {
-	for again := false; ; again = true {
-		lease, err := c.useLease(ctx, again)
+	for retried := false; ; retried = true {
+		lease, err := c.useLease(ctx, retried)
 		if err != nil {
 			return 0, errors.CombineErrors(errNoLease, err)
 		}
 		revision, err := c.store.Put(ctx, platform.Write{Key: key, Value: value, Lease: lease})
-		if errors.Is(err, platform.ErrLeaseNotFound) && !again {
+		if errors.Is(err, platform.ErrLeaseNotFound) && !retried {
 			continue
 		}
 		if errors.Is(err, platform.ErrLeaseNotFound) {
@@ -130,12 +130,12 @@
 	c.mu.Lock()
 	lease := c.lease
 	c.mu.Unlock()
-	asked := time.Now()
-	if lease.Usable(asked) && !renew {
+	requestedAt := time.Now()
+	if lease.Usable(requestedAt) && !renew {
 		return lease.ID, nil
 	}
 	id, err := c.store.Grant(ctx, once.LeaseTTL)
-	if err != nil { // once more: a lease whose answer was lost holds no key and ends by itself
+	if err != nil { // retry once: a lease whose response was lost holds no key and expires
 		id, err = c.store.Grant(ctx, once.LeaseTTL)
 	}
 	if err != nil {
@@ -143,75 +143,75 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lease = once.NewLease(id, asked)
+	c.lease = once.NewLease(id, requestedAt)
 	return id, nil
 }
 
-// standing tells a second comer what is known of the claim it found. A claim
-// that was retracted in between is one that nobody dispatched.
-func (c *Claimer) standing(ctx context.Context, key, hash string) *refusal.Refusal {
+// duplicateRefusal returns the refusal of a duplicate request, with what is known of the
+// existing claim. A claim that was retracted in between was never dispatched.
+func (c *Claimer) duplicateRefusal(ctx context.Context, key, hash string) *refusal.Refusal {
 	kv, err := c.store.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
-		return refusal.New(refusal.CodeConflict, "another request under this key gave up just now").After(comeBack)
+		return refusal.New(refusal.CodeConflict, "another request under this key gave up just now").After(storeRetryAfter)
 	}
 	if err != nil {
-		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRun(refusal.Unknown)
+		return refusal.New(refusal.CodeConflict, "a claim for this key exists").WithRun(refusal.Unknown)
 	}
 	found, err := once.Decode(kv.Value)
 	if err != nil {
-		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRun(refusal.Unknown)
+		return refusal.New(refusal.CodeConflict, "a claim for this key exists").WithRun(refusal.Unknown)
 	}
 	return once.DuplicateRefusal(found, hash, c.outcomes.Run(found.Nonce))
 }
 
-// Finish notes how the claimed operation ended. One that has certainly not run
-// is retracted, so that the caller may send it again.
+// Finish records how the claimed operation ended. The claim of an operation that has certainly
+// not run is retracted, so that the caller may send it again.
 func (h *Handle) Finish(run refusal.Run) {
 	h.claimer.outcomes.Set(h.nonce, run)
 	if run != refusal.NotRun {
 		return
 	}
-	ctx, cancel := context.WithTimeout(h.claimer.stop, retractTimeout)
+	ctx, cancel := context.WithTimeout(h.claimer.background, retractTimeout)
 	defer cancel()
 	if err := h.claimer.delete(ctx, h); err != nil {
 		h.claimer.settle(h)
 	}
 }
 
-// delete retracts the claim. The store's compare-and-swap names the revision
-// that this attempt wrote, so the claim of another is never deleted.
+// delete retracts the claim. The compare-and-swap expects the revision that this attempt
+// wrote, so the claim of another request is never deleted.
 func (c *Claimer) delete(ctx context.Context, h *Handle) error {
 	_, err := c.store.Put(ctx, platform.Write{Key: h.key, ExpectRevision: h.revision, Delete: true})
 	if errors.Is(err, platform.ErrConflict) {
-		return nil // it has gone already
+		return nil // already deleted
 	}
 	return err
 }
 
-// settle looks in the background for a claim whose fate is unknown and retracts
-// it: its operation was never dispatched. Symptom without it: a caller told
-// "not run" comes back and finds the key taken by nobody. A claim that shows up
-// after settleFor stays; its key then counts as unknown, never as free.
+// settle searches in the background for a claim whose write has an unknown outcome and
+// retracts it: its operation was never dispatched. Without this, a caller that was told "not
+// run" retries and finds its key taken by a request that never ran. A claim that appears
+// after settleTimeout stays; its key then counts as unknown, never as free.
 func (c *Claimer) settle(h *Handle) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.settling >= maxSettling || c.stop.Err() != nil {
+	if c.settleTasks >= maxSettleTasks || c.background.Err() != nil {
 		return
 	}
-	c.settling++
+	c.settleTasks++
 	c.tasks.Go(func() {
 		c.retract(h)
 		c.mu.Lock()
-		c.settling--
+		c.settleTasks--
 		c.mu.Unlock()
 	})
 }
 
 func (c *Claimer) retract(h *Handle) {
-	ctx, cancel := context.WithTimeout(c.stop, settleFor)
+	ctx, cancel := context.WithTimeout(c.background, settleTimeout)
 	defer cancel()
-	for pause := settlePause; ; pause *= 2 {
-		switch c.look(ctx, h) {
+	for backoff := settleBackoff; ; backoff *= 2 {
+		switch c.lookUp(ctx, h) {
 		case foundOther:
 			return
 		case foundOwn:
@@ -220,27 +220,27 @@
 			}
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
-			c.log.Info("claim not found while settling", "key", h.key)
+			c.log.Info("claim of unknown outcome not found in the store", "key", h.key)
 			return
 		}
 	}
 }
 
-// found is what stands under a claim's key.
-type found int
+// lookupResult says which claim is stored under a key.
+type lookupResult int
 
 const (
-	foundNothing found = iota // or the store did not answer
+	foundNone lookupResult = iota // or the store did not respond
 	foundOwn
 	foundOther
 )
 
-func (c *Claimer) look(ctx context.Context, h *Handle) found {
+func (c *Claimer) lookUp(ctx context.Context, h *Handle) lookupResult {
 	kv, err := c.store.Get(ctx, h.key)
 	if err != nil {
-		return foundNothing
+		return foundNone
 	}
 	claim, err := once.Decode(kv.Value)
 	if err != nil || !claim.HasNonce(h.nonce) {
--- a/transport/claim/claim_test.go
+++ b/transport/claim/claim_test.go
@@ -18,31 +18,31 @@
 	"github.com/basilroute/basilroute/transport/platform"
 )
 
-var errOpen = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// fakeStore is a store whose answers can be lost and whose writes can be late.
+// fakeStore is a store that can lose responses and apply writes late.
 type fakeStore struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	faulty   int // calls in a hundred that fail
-	down     bool
-	lose     bool // writes take effect, their answers are lost
-	revision int64
-	keys     map[string]platform.KeyValue
-	puts     int
-	grants   int
+	mu            sync.Mutex
+	rng           *rand.Rand
+	failPercent   int // percentage of calls that fail
+	down          bool
+	loseResponses bool // writes take effect, but their responses are lost
+	revision      int64
+	keys          map[string]platform.KeyValue
+	puts          int
+	grants        int
 }
 
-func newFakeStore(seed uint64, faulty int) *fakeStore {
-	return &fakeStore{rng: rand.New(rand.NewPCG(seed, 1)), faulty: faulty, keys: make(map[string]platform.KeyValue)}
+func newFakeStore(seed uint64, failPercent int) *fakeStore {
+	return &fakeStore{rng: rand.New(rand.NewPCG(seed, 1)), failPercent: failPercent, keys: make(map[string]platform.KeyValue)}
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (platform.KeyValue, error) {
 	time.Sleep(time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down || s.rng.IntN(100) < s.faulty {
-		return platform.KeyValue{}, errOpen
+	if s.down || s.rng.IntN(100) < s.failPercent {
+		return platform.KeyValue{}, errNoResponse
 	}
 	kv, ok := s.keys[key]
 	if !ok {
@@ -56,25 +56,25 @@
 	defer s.mu.Unlock()
 	s.grants++
 	if s.down {
-		return 0, errOpen
+		return 0, errNoResponse
 	}
 	return 1, nil
 }
 
-// Put fails in three ways: not at all applied, applied at once, or applied late.
+// Put fails in three ways: the write is not applied, applied at once, or applied late.
 func (s *fakeStore) Put(_ context.Context, w platform.Write) (int64, error) {
 	time.Sleep(time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.puts++
 	if s.down {
-		return 0, errOpen
+		return 0, errNoResponse
 	}
-	if s.lose {
+	if s.loseResponses {
 		_, _ = s.apply(w)
-		return 0, errOpen
+		return 0, errNoResponse
 	}
-	if s.rng.IntN(100) >= s.faulty {
+	if s.rng.IntN(100) >= s.failPercent {
 		return s.apply(w)
 	}
 	switch s.rng.IntN(3) {
@@ -82,14 +82,14 @@
 	case 1:
 		_, _ = s.apply(w)
 	case 2:
-		late := time.Duration(s.rng.IntN(3000)) * time.Millisecond
-		time.AfterFunc(late, func() {
+		delay := time.Duration(s.rng.IntN(3000)) * time.Millisecond
+		time.AfterFunc(delay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			_, _ = s.apply(w)
 		})
 	}
-	return 0, errOpen
+	return 0, errNoResponse
 }
 
 func (s *fakeStore) apply(w platform.Write) (int64, error) {
@@ -115,8 +115,8 @@
 	return id.String()
 }
 
-// keyAt returns a UUIDv7 made at a time; the virtual clock of synctest is not
-// the one that the uuid package may have cached.
+// keyAt returns a UUIDv7 with the given time. uuid.NewV7 may use a cached time that differs
+// from the virtual clock of synctest.
 func keyAt(at time.Time) string {
 	var id uuid.UUID
 	ms := at.UnixMilli()
@@ -127,7 +127,7 @@
 	return id.String()
 }
 
-// callers send the same purchase order again and again through random instances.
+// callers repeatedly send the same purchase order through random instances.
 type callers struct {
 	store     *fakeStore
 	instances []*Claimer
@@ -136,18 +136,18 @@
 	refused   int
 }
 
-// send stands for one request: claim, dispatch, end. The dispatch itself runs,
-// fails before it began, or loses its answer.
+// send simulates one request: claim, dispatch, end. The dispatch runs, fails before it is
+// started, or loses its response.
 func (c *callers) send(rng *rand.Rand, key string) error {
 	claimer := c.instances[rng.IntN(len(c.instances))]
-	held, err := claimer.Claim(context.Background(), Request{Key: key, Account: "a", Service: "s", Operation: "buy", Body: []byte("resin"), RequestID: "r"})
+	handle, err := claimer.Claim(context.Background(), Request{Key: key, Account: "a", Service: "s", Operation: "buy", Body: []byte("resin"), RequestID: "r"})
 	if err != nil {
 		return err
 	}
 	time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	switch rng.IntN(4) {
 	case 0: // the server could not be reached
-		held.Finish(refusal.NotRun)
+		handle.Finish(refusal.NotRun)
 		return refusal.New(refusal.CodeBackendFailed, "not reached")
 	case 1: // the instance is killed between claim and dispatch
 		return refusal.New(refusal.CodePeerUnreachable, "killed").WithRun(refusal.Unknown)
@@ -155,7 +155,7 @@
 	c.mu.Lock()
 	c.runs++
 	c.mu.Unlock()
-	held.Finish(refusal.Ran)
+	handle.Finish(refusal.Ran)
 	return nil
 }
 
@@ -167,11 +167,11 @@
 	}
 }
 
-// Callers send a purchase order several times, at once and one after the other,
-// through three instances, while the store loses answers and applies writes
-// late, backend servers cannot be reached, and instances die between claim and
-// dispatch. The order runs once at most, since only the attempt whose own write
-// created the claim dispatches, and only a claim that certainly did not run goes away.
+// Callers send a purchase order several times, concurrently and in sequence, through three
+// instances, while the store loses responses and applies writes late, backend servers are
+// unreachable, and instances crash between claim and dispatch. The order must run at most
+// once: only the attempt whose own write created the claim dispatches, and only the claim of
+// an operation that certainly did not run is deleted.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	ran, refused := 0, 0
 	for seed := range uint64(300) {
@@ -210,15 +210,15 @@
 	}
 }
 
-// The store is out of reach. The caller is told "not run" with a time to come
-// back; when the store is there again the same key runs, also when the write
-// whose answer was lost had taken effect: its attempt retracts it.
+// The store is unreachable. The caller is told "not run" with a Retry-After; once the store is
+// reachable again the same key must be accepted, also when the write whose response was lost
+// had taken effect: the attempt retracts it.
 func TestLostClaimIsRetracted(t *testing.T) {
 	for _, lose := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			store := newFakeStore(1, 0)
-			store.down, store.lose = !lose, lose
+			store.down, store.loseResponses = !lose, lose
 			c := New(ctx, store, "i", slog.New(slog.DiscardHandler))
 			r := Request{Key: keyAt(time.Now()), Account: "a", Service: "s", Operation: "buy"}
 			_, err := c.Claim(ctx, r)
@@ -228,9 +228,9 @@
 			}
 			time.Sleep(3 * time.Second)
 			store.mu.Lock()
-			store.down, store.lose = false, false
+			store.down, store.loseResponses = false, false
 			store.mu.Unlock()
-			time.Sleep(settleFor)
+			time.Sleep(settleTimeout)
 			if _, err := c.Claim(ctx, r); err != nil {
 				t.Errorf("the key is still taken: %v", err)
 			}
@@ -240,8 +240,8 @@
 	}
 }
 
-// A second comer is told what is known: that another runs, that it ran, or that
-// the key was used for something else. Another account's key never gets in the way.
+// A duplicate request is told what is known: that another one is running, that it ran, or that
+// the key was used for another operation. The same key of another account must not interfere.
 func TestSecondComerIsTold(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -249,7 +249,7 @@
 	first := New(ctx, store, "first", slog.New(slog.DiscardHandler))
 	second := New(ctx, store, "second", slog.New(slog.DiscardHandler))
 	r := Request{Key: newKey(t), Account: "a", Service: "s", Operation: "buy", Body: []byte("1")}
-	held, err := first.Claim(ctx, r)
+	handle, err := first.Claim(ctx, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 		}
 	}
 	check("in flight", first, r, refusal.CodeConflict, refusal.Unknown)
-	held.Finish(refusal.Ran)
+	handle.Finish(refusal.Ran)
 	check("ran, same instance", first, r, refusal.CodeConflict, refusal.Ran)
 	check("ran, other instance", second, r, refusal.CodeConflict, refusal.Unknown)
 	other := r
@@ -274,27 +274,26 @@
 	}
 }
 
-// A claim is one write; the lease that ends it is shared by many.
-func TestOneWriteAnOperation(t *testing.T) {
+// A claim costs one write; claims share the lease that expires them.
+func TestOneWritePerOperation(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	store := newFakeStore(1, 0)
 	c := New(ctx, store, "i", slog.New(slog.DiscardHandler))
 	for range 100 {
-		held, err := c.Claim(ctx, Request{Key: newKey(t), Account: "a"})
+		handle, err := c.Claim(ctx, Request{Key: newKey(t), Account: "a"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		held.Finish(refusal.Ran)
+		handle.Finish(refusal.Ran)
 	}
 	if store.puts != 100 || store.grants != 1 {
 		t.Errorf("%d writes and %d leases for 100 operations", store.puts, store.grants)
 	}
 }
 
-// A caller sends again with a key whose claim has ended in the store. The key is
-// refused as too old at every instance for as long as any of them could accept
-// it: the claim outlives its key.
+// A caller retries with a key whose claim has expired in the store. Every instance must refuse
+// the key as too old before that: the claim outlives its key.
 func TestClaimOutlivesItsKey(t *testing.T) {
 	now := time.UnixMilli(1_800_000_000_000)
 	youngest := keyAt(now.Add(once.MaxAhead)) // the claimant's clock is behind the caller's
