--- a/transport/gateway/body_test.go
+++ b/transport/gateway/body_test.go
@@ -12,10 +12,10 @@
 	"github.com/basilroute/basilroute/state/requests"
 )
 
-// endless is a body that a caller never stops sending.
-type endless struct{ sent int64 }
+// endlessBody is a request body without end.
+type endlessBody struct{ sent int64 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessBody) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = ' '
 	}
@@ -23,17 +23,17 @@
 	return len(p), nil
 }
 
-// A body without end is cut off at the limit: the caller gets a typed refusal and
-// the instance's memory stays bounded.
+// A body without end must be cut off at the limit: the caller gets a typed refusal and the
+// instance's memory stays bounded.
 func TestEndlessBodyIsRefused(t *testing.T) {
-	known := catalog.New()
+	documents := catalog.New()
 	presented, stored := catalog.NewKey("suva-1")
-	known.Put(document(t, "kind: account\nname: suva\nrate: 1\nburst: 1\nkeys: [{id: "+stored.ID+", sha256: "+stored.SHA256+"}]\n"))
-	handler, err := (&Gateway{Catalog: known, Requests: requests.New(), Entries: noEntries{}, Ready: func() bool { return true }}).Handler()
+	documents.Put(document(t, "kind: account\nname: suva\nrate: 1\nburst: 1\nkeys: [{id: "+stored.ID+", sha256: "+stored.SHA256+"}]\n"))
+	handler, err := (&Gateway{Catalog: documents, Requests: requests.New(), Entries: noEntries{}, Ready: func() bool { return true }}).Handler()
 	if err != nil {
 		t.Fatal(err)
 	}
-	body := &endless{}
+	body := &endlessBody{}
 	req := httptest.NewRequest(http.MethodPost, "/v1/completions", io.NopCloser(body))
 	req.ContentLength = -1
 	req.Header.Set("Content-Type", "application/json")
--- a/transport/gateway/completions.go
+++ b/transport/gateway/completions.go
@@ -14,22 +14,22 @@
 
 const (
 	objectChat       = "chat.completion"
-	objectChatPart   = "chat.completion.chunk"
+	objectChatChunk  = "chat.completion.chunk"
 	objectCompletion = "text_completion"
 )
 
-// wholeSink gathers an answer.
-type wholeSink struct {
-	body []byte
-	text strings.Builder
-	last frame.Frame
-	out  int
+// bufferedSink buffers a complete response.
+type bufferedSink struct {
+	body         []byte
+	text         strings.Builder
+	last         frame.Frame
+	outputTokens int
 }
 
 // Frame implements dispatch.Sink.
-func (s *wholeSink) Frame(_ string, f *frame.Frame) error {
+func (s *bufferedSink) Frame(_ string, f *frame.Frame) error {
 	s.text.WriteString(f.Text)
-	s.out += f.Tokens
+	s.outputTokens += f.Tokens
 	if f.Finish != "" {
 		s.last = *f
 	}
@@ -37,39 +37,39 @@
 }
 
 // Answer implements dispatch.Sink.
-func (s *wholeSink) Answer(_ string, body []byte) error {
+func (s *bufferedSink) Answer(_ string, body []byte) error {
 	s.body = body
 	return nil
 }
 
-// Whole tells whether the answer has its end.
-func (s *wholeSink) Whole() bool { return s.body != nil || s.last.Finish != "" }
+// Complete reports whether the response has its last frame or its body.
+func (s *bufferedSink) Complete() bool { return s.body != nil || s.last.Finish != "" }
 
-// whole refuses an answer that ended without an error and without its end, so
-// that a fault on the way never looks like a short answer.
-func whole(sink dispatch.Sink) error {
-	if s, ok := sink.(interface{ Whole() bool }); ok && !s.Whole() {
+// checkComplete refuses a response that ended without an error but is incomplete, so that a
+// fault in transit never looks like a short response.
+func checkComplete(sink dispatch.Sink) error {
+	if s, ok := sink.(interface{ Complete() bool }); ok && !s.Complete() {
 		return refusal.New(refusal.CodeIncomplete, "the answer is not whole").WithRun(refusal.Ran)
 	}
 	return nil
 }
 
 // Restart implements dispatch.Restarter.
-func (s *wholeSink) Restart() bool {
-	*s = wholeSink{}
+func (s *bufferedSink) Restart() bool {
+	*s = bufferedSink{}
 	return true
 }
 
-func (s *wholeSink) usage() gatewayapi.Usage {
+func (s *bufferedSink) usage() gatewayapi.Usage {
 	return gatewayapi.Usage{
-		PromptTokens: s.last.PromptTokens, CompletionTokens: s.out,
-		TotalTokens:  s.last.PromptTokens + s.out,
+		PromptTokens: s.last.PromptTokens, CompletionTokens: s.outputTokens,
+		TotalTokens:  s.last.PromptTokens + s.outputTokens,
 		CachedTokens: gatewayapi.NewOptInt(s.last.CachedTokens),
 	}
 }
 
-// promptOf joins chat messages into the prompt that engines get.
-func promptOf(messages []gatewayapi.Message) string {
+// joinMessages joins chat messages into the prompt that is sent to engines.
+func joinMessages(messages []gatewayapi.Message) string {
 	var b strings.Builder
 	for _, m := range messages {
 		b.WriteString(string(m.Role))
@@ -89,34 +89,34 @@
 	if err != nil {
 		return nil, err
 	}
-	work.Generation, err = generation(svc, prompt, maxTokens)
+	work.Generation, err = checkedGeneration(svc, prompt, maxTokens)
 	return work, err
 }
 
 // CreateChatCompletion implements gatewayapi.Handler.
 func (g *Gateway) CreateChatCompletion(ctx context.Context, req *gatewayapi.ChatRequest, p gatewayapi.CreateChatCompletionParams) (gatewayapi.CreateChatCompletionRes, error) {
-	w, err := g.newGeneration(ctx, req.Model, promptOf(req.Messages), req.MaxTokens, p.XRequestClass, p.XVia.Or(""))
+	w, err := g.newGeneration(ctx, req.Model, joinMessages(req.Messages), req.MaxTokens, p.XRequestClass, p.XVia.Or(""))
 	if err != nil {
 		return nil, err
 	}
 	if req.Stream.Or(false) {
-		events, err := g.stream(ctx, w, objectChatPart)
+		events, err := g.stream(ctx, w, objectChatChunk)
 		if err != nil {
 			return nil, err
 		}
 		return &gatewayapi.CreateChatCompletionOKTextEventStream{Data: events}, nil
 	}
-	answer := &wholeSink{}
-	if err := g.run(ctx, w, answer); err != nil {
+	response := &bufferedSink{}
+	if err := g.run(ctx, w, response); err != nil {
 		return nil, err
 	}
 	return &gatewayapi.ChatCompletion{
 		ID: w.RequestID, Object: objectChat, Created: time.Now().Unix(), Model: req.Model,
 		Choices: []gatewayapi.ChatChoice{{
-			Message:      gatewayapi.Message{Role: gatewayapi.MessageRoleAssistant, Content: answer.text.String()},
-			FinishReason: answer.last.Finish,
+			Message:      gatewayapi.Message{Role: gatewayapi.MessageRoleAssistant, Content: response.text.String()},
+			FinishReason: response.last.Finish,
 		}},
-		Usage: answer.usage(),
+		Usage: response.usage(),
 	}, nil
 }
 
@@ -133,13 +133,13 @@
 		}
 		return &gatewayapi.CreateCompletionOKTextEventStream{Data: events}, nil
 	}
-	answer := &wholeSink{}
-	if err := g.run(ctx, w, answer); err != nil {
+	response := &bufferedSink{}
+	if err := g.run(ctx, w, response); err != nil {
 		return nil, err
 	}
 	return &gatewayapi.Completion{
 		ID: w.RequestID, Object: objectCompletion, Created: time.Now().Unix(), Model: req.Model,
-		Choices: []gatewayapi.CompletionChoice{{Text: answer.text.String(), FinishReason: answer.last.Finish}},
-		Usage:   answer.usage(),
+		Choices: []gatewayapi.CompletionChoice{{Text: response.text.String(), FinishReason: response.last.Finish}},
+		Usage:   response.usage(),
 	}, nil
 }
--- a/transport/gateway/errors.go
+++ b/transport/gateway/errors.go
@@ -14,7 +14,7 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// classify returns the refusal for an error of the generated server or a handler.
+// classify converts an error of the generated server or of a handler to a refusal.
 func classify(err error) *refusal.Refusal {
 	var typed *refusal.Refusal
 	if errors.As(err, &typed) {
@@ -36,8 +36,9 @@
 	return refusal.From(err)
 }
 
-// encode returns the body of a refusal; one that other instances may serve names them.
-func (g *Gateway) encode(r *refusal.Refusal, account *service.Account) gatewayapi.Refusal {
+// encodeRefusal returns the body of a refusal. A refusal of a request that other instances may
+// serve lists these instances.
+func (g *Gateway) encodeRefusal(r *refusal.Refusal, account *service.Account) gatewayapi.Refusal {
 	g.Metrics.RecordRefusal(string(r.Code))
 	out := gatewayapi.Refusal{Code: string(r.Code), Message: r.Message, Run: gatewayapi.RefusalRun(r.Run)}
 	if r.RetryAfter > 0 {
@@ -58,14 +59,14 @@
 func (g *Gateway) NewError(ctx context.Context, err error) *gatewayapi.RefusalStatusCodeWithHeaders {
 	r := classify(err)
 	c, _ := ctx.Value(callerKey{}).(caller)
-	out := &gatewayapi.RefusalStatusCodeWithHeaders{StatusCode: r.Status(), Response: g.encode(r, c.account)}
+	out := &gatewayapi.RefusalStatusCodeWithHeaders{StatusCode: r.Status(), Response: g.encodeRefusal(r, c.account)}
 	if r.RetryAfter > 0 {
 		out.RetryAfter = gatewayapi.NewOptInt(retryAfterSeconds(r))
 	}
 	return out
 }
 
-// writeError answers for errors before an operation's handler runs.
+// writeError responds to errors that occur before an operation's handler runs.
 func (g *Gateway) writeError(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	g.writeRefusal(w, classify(err))
 }
@@ -80,7 +81,7 @@
 }
 
 func (g *Gateway) writeRefusal(w http.ResponseWriter, r *refusal.Refusal) {
-	body := g.encode(r, nil)
+	body := g.encodeRefusal(r, nil)
 	encoded, err := body.MarshalJSON()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/transport/gateway/flush_test.go
+++ b/transport/gateway/flush_test.go
@@ -49,12 +49,12 @@
 // serve runs a gateway with one model service and returns its URL and a key.
 func serve(t *testing.T, runner Runner) (url, key string) {
 	t.Helper()
-	known := catalog.New()
+	documents := catalog.New()
 	presented, stored := catalog.NewKey("suva-1")
-	known.Put(document(t, "kind: service\nname: notice-writer\ntype: model\n"))
-	known.Put(document(t, "kind: account\nname: suva\nrate: 1\nburst: 1\nkeys: [{id: "+stored.ID+", sha256: "+stored.SHA256+"}]\n"))
+	documents.Put(document(t, "kind: service\nname: notice-writer\ntype: model\n"))
+	documents.Put(document(t, "kind: account\nname: suva\nrate: 1\nburst: 1\nkeys: [{id: "+stored.ID+", sha256: "+stored.SHA256+"}]\n"))
 	handler, err := (&Gateway{
-		Catalog: known, Requests: requests.New(), Runner: runner, Entries: noEntries{}, Ready: func() bool { return true },
+		Catalog: documents, Requests: requests.New(), Runner: runner, Entries: noEntries{}, Ready: func() bool { return true },
 		Via: via.NewSigner(nil),
 	}).Handler()
 	if err != nil {
@@ -65,10 +65,10 @@
 	return server.URL, presented
 }
 
-// A caller reads a streamed answer token by token. The generated server copies
-// the answer with io.Copy behind a wrapper of its own, so nothing flushed and the
-// caller saw the first token together with the last. Here the engine goes on
-// only after the caller has read the first token: without a flush both wait.
+// A caller reads a streamed response token by token. The generated server copies the response
+// with io.Copy to a wrapper that never flushed, so the caller received the first token
+// together with the last. Here the engine continues only after the caller has read the first
+// token: without a flush both wait for each other.
 func TestTokenReachesCallerBeforeTheNext(t *testing.T) {
 	runner := &stepRunner{read: make(chan struct{})}
 	url, key := serve(t, runner)
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway serves callers: it checks the key, bounds the request, runs it
-// and writes the answer whole or as server-sent events. Every refusal is typed.
+// Package gateway serves callers over HTTP: it checks the key, enforces the limits of the
+// request, runs it and writes the response in one piece or as server-sent events. Every
+// refusal is typed.
 package gateway
 
 import (
@@ -24,7 +25,7 @@
 
 const (
 	maxBodyBytes = 64 << 20
-	// defaultMaxTokens bounds an answer for which the caller set no bound.
+	// defaultMaxTokens bounds the output of a request that sets no max_tokens.
 	defaultMaxTokens = 256
 	entriesTTL       = 10 * time.Second
 )
@@ -99,12 +100,12 @@
 	return service.Class(c.Or(gatewayapi.ClassInteractive))
 }
 
-// newWork fills in what all kinds of work share.
-func (g *Gateway) newWork(ctx context.Context, svc *service.Service, class service.Class, passed string) (*dispatch.Work, error) {
+// newWork sets the fields that generations and operations share.
+func (g *Gateway) newWork(ctx context.Context, svc *service.Service, class service.Class, incomingVia string) (*dispatch.Work, error) {
 	c := callerOf(ctx)
 	settings := svc.Class(class)
 	id := uuid.NewString()
-	via, refused := g.Via.Extend(passed, id, svc.Name)
+	via, refused := g.Via.Extend(incomingVia, id, svc.Name)
 	if refused != nil {
 		return nil, refused
 	}
@@ -123,8 +124,8 @@
 	return svc, nil
 }
 
-// generation checks a generation's size against the service's limits.
-func generation(svc *service.Service, prompt string, maxTokens gatewayapi.OptInt) (*dispatch.Generation, error) {
+// checkedGeneration returns a generation after checking its size against the service's limits.
+func checkedGeneration(svc *service.Service, prompt string, maxTokens gatewayapi.OptInt) (*dispatch.Generation, error) {
 	if n := tokens.Estimate(prompt); int64(n) > svc.Limits.PromptTokens {
 		return nil, refusal.New(refusal.CodeTooLarge, "the prompt has about %d tokens, the limit is %d", n, svc.Limits.PromptTokens)
 	}
@@ -168,11 +169,11 @@
 		return nil, err
 	}
 	w.Operation = &dispatch.Operation{Name: p.Operation, Body: body, IdempotencyKey: idempotencyKey(p)}
-	answer := &wholeSink{}
-	if err := g.run(ctx, w, answer); err != nil {
+	response := &bufferedSink{}
+	if err := g.run(ctx, w, response); err != nil {
 		return nil, err
 	}
-	return answer.body, nil
+	return response.body, nil
 }
 
 // run registers the request under its key and runs it.
@@ -191,5 +192,5 @@
 	if err := g.observe(ctx, c.account, w, sink); err != nil {
 		return err
 	}
-	return whole(sink)
+	return checkComplete(sink)
 }
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -14,54 +14,54 @@
 	"github.com/basilroute/basilroute/transport/httpstream"
 )
 
-// maxBuffered is how many bytes of events may wait for a slow caller before the
-// engine's stream is held back.
-const maxBuffered = 256 << 10
+// maxBufferedBytes bounds the events that are buffered for a slow caller. When the buffer is
+// full, reading from the engine's stream blocks.
+const maxBufferedBytes = 256 << 10
 
-// events is a stream of server-sent events: dispatch writes frames into it as a
-// sink, the HTTP server reads it.
-type events struct {
+// eventStream is a stream of server-sent events: dispatch writes frames to it as a sink, and
+// the HTTP server reads it.
+type eventStream struct {
 	id, model, object string
 	created           int64
 	cancel            context.CancelFunc
 	finished          chan struct{} // closed when the request has ended
 
-	mu      sync.Mutex
-	buf     []byte
-	encoder jx.Writer // kept, since one a frame would be an allocation a token
-	output  int
-	frames  int
-	whole   bool // the last frame is there
-	ended   bool
-	wake    chan struct{} // capacity 1: there is something to read
-	drained chan struct{} // capacity 1: there is room again
-	gone    <-chan struct{}
+	mu           sync.Mutex
+	buffered     []byte
+	encoder      jx.Writer // reused, since an encoder per frame would cost an allocation per token
+	outputTokens int
+	frames       int
+	complete     bool // the last frame was received
+	ended        bool
+	wake         chan struct{} // capacity 1: there is something to read
+	drained      chan struct{} // capacity 1: the buffer has space again
+	callerGone   <-chan struct{}
 }
 
-// stream starts the work and returns when its first event is there, so that a
-// refusal before that still gets its own status.
+// stream starts the work and returns once its first event is buffered, so that a refusal
+// before the first event still gets its own HTTP status.
 func (g *Gateway) stream(ctx context.Context, w *dispatch.Work, object string) (io.ReadCloser, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	e := &events{
+	e := &eventStream{
 		id: w.RequestID, model: w.Service, object: object, created: time.Now().Unix(),
-		cancel: cancel, finished: make(chan struct{}), gone: ctx.Done(),
+		cancel: cancel, finished: make(chan struct{}), callerGone: ctx.Done(),
 		wake: make(chan struct{}, 1), drained: make(chan struct{}, 1),
 	}
-	var failed error
+	var runErr error
 	go func() {
 		defer close(e.finished)
-		failed = g.run(ctx, w, e)
-		e.end(failed)
+		runErr = g.run(ctx, w, e)
+		e.end(runErr)
 	}()
 	select {
 	case <-e.wake:
 		signal(e.wake)
 	case <-e.finished:
 	}
-	if !e.begun() {
+	if !e.started() {
 		<-e.finished
 		cancel()
-		return nil, failed
+		return nil, runErr
 	}
 	return httpstream.SendEvents(ctx, e), nil
 }
@@ -73,28 +73,28 @@
 	}
 }
 
-func (e *events) begun() bool {
+func (e *eventStream) started() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.frames > 0
 }
 
-// Whole tells whether the answer has its end.
-func (e *events) Whole() bool {
+// Complete reports whether the response has its last frame.
+func (e *eventStream) Complete() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.whole
+	return e.complete
 }
 
 // Frame implements dispatch.Sink.
-func (e *events) Frame(_ string, f *frame.Frame) error {
+func (e *eventStream) Frame(_ string, f *frame.Frame) error {
 	for {
 		e.mu.Lock()
-		if len(e.buf) < maxBuffered {
-			e.output += f.Tokens
+		if len(e.buffered) < maxBufferedBytes {
+			e.outputTokens += f.Tokens
 			e.frames++
-			e.whole = f.Finish != ""
-			e.buf = e.appendFrame(e.buf, f)
+			e.complete = f.Finish != ""
+			e.buffered = e.appendFrame(e.buffered, f)
 			e.mu.Unlock()
 			signal(e.wake)
 			return nil
@@ -102,16 +102,16 @@
 		e.mu.Unlock()
 		select {
 		case <-e.drained:
-		case <-e.gone:
+		case <-e.callerGone:
 			return refusal.New(refusal.CodeIncomplete, "the caller went away").WithRun(refusal.Ran)
 		}
 	}
 }
 
 // Answer implements dispatch.Sink. Operations are not streamed.
-func (e *events) Answer(string, []byte) error { return nil }
+func (e *eventStream) Answer(string, []byte) error { return nil }
 
-func (e *events) appendFrame(buf []byte, f *frame.Frame) []byte {
+func (e *eventStream) appendFrame(buf []byte, f *frame.Frame) []byte {
 	w := &e.encoder
 	w.Buf = buf
 	w.RawStr(`data: {"id":`)
@@ -123,7 +123,7 @@
 	w.RawStr(`,"model":`)
 	w.Str(e.model)
 	w.RawStr(`,"choices":[{"index":0,`)
-	if e.object == objectChatPart {
+	if e.object == objectChatChunk {
 		w.RawStr(`"delta":{"content":`)
 		w.Str(f.Text)
 		w.RawStr(`}`)
@@ -144,29 +144,29 @@
 	return w.Buf
 }
 
-func (e *events) appendUsage(w *jx.Writer, f *frame.Frame) {
+func (e *eventStream) appendUsage(w *jx.Writer, f *frame.Frame) {
 	w.RawStr(`{"prompt_tokens":`)
 	w.Int(f.PromptTokens)
 	w.RawStr(`,"completion_tokens":`)
-	w.Int(e.output)
+	w.Int(e.outputTokens)
 	w.RawStr(`,"total_tokens":`)
-	w.Int(f.PromptTokens + e.output)
+	w.Int(f.PromptTokens + e.outputTokens)
 	w.RawStr(`,"cached_tokens":`)
 	w.Int(f.CachedTokens)
 	w.RawStr(`}`)
 }
 
-// end writes the last event: the usual mark of a whole answer, or an explicit
-// event that the answer is not whole.
-func (e *events) end(err error) {
+// end writes the last event: [DONE] for a complete response, or an explicit event that the
+// response is incomplete.
+func (e *eventStream) end(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ended = true
 	switch {
 	case err == nil:
-		e.buf = append(e.buf, "data: [DONE]\n\n"...)
+		e.buffered = append(e.buffered, "data: [DONE]\n\n"...)
 	case e.frames > 0:
-		e.buf = appendIncomplete(e.buf, classify(err))
+		e.buffered = appendIncomplete(e.buffered, classify(err))
 	}
 	signal(e.wake)
 }
@@ -184,9 +184,9 @@
 }
 
 // Read implements io.Reader.
-func (e *events) Read(p []byte) (int, error) {
+func (e *eventStream) Read(p []byte) (int, error) {
 	for {
-		n, ended := e.take(p)
+		n, ended := e.takeBuffered(p)
 		if n > 0 {
 			return n, nil
 		}
@@ -200,20 +200,20 @@
 	}
 }
 
-func (e *events) take(p []byte) (int, bool) {
+func (e *eventStream) takeBuffered(p []byte) (int, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := copy(p, e.buf)
+	n := copy(p, e.buffered)
 	if n > 0 {
-		rest := copy(e.buf, e.buf[n:])
-		e.buf = e.buf[:rest]
+		rest := copy(e.buffered, e.buffered[n:])
+		e.buffered = e.buffered[:rest]
 		signal(e.drained)
 	}
-	return n, e.ended && len(e.buf) == 0
+	return n, e.ended && len(e.buffered) == 0
 }
 
-// Close implements io.Closer. It cancels what still runs and waits for its end.
-func (e *events) Close() error {
+// Close implements io.Closer. It cancels the request and waits for its end.
+func (e *eventStream) Close() error {
 	e.cancel()
 	<-e.finished
 	return nil
--- a/transport/gateway/whole_test.go
+++ b/transport/gateway/whole_test.go
@@ -13,10 +13,10 @@
 	"github.com/basilroute/basilroute/transport/dispatch"
 )
 
-// shortRunner sends one frame, which holds no token, and ends.
-type shortRunner struct{ err error }
+// truncatingRunner sends one frame, without tokens, and ends.
+type truncatingRunner struct{ err error }
 
-func (r shortRunner) Run(_ context.Context, _ *service.Account, _ *dispatch.Work, sink dispatch.Sink) error {
+func (r truncatingRunner) Run(_ context.Context, _ *service.Account, _ *dispatch.Work, sink dispatch.Sink) error {
 	if err := sink.Frame("engine", &frame.Frame{}); err != nil {
 		return err
 	}
@@ -44,15 +44,15 @@
 	return resp.StatusCode, string(body)
 }
 
-// An answer ends without its last frame, with an error or, by some fault on the
-// way, without one. The caller of a whole answer gets a typed refusal and not the
-// part; the caller of a stream gets an explicit event and no mark of the end,
-// also when the part that it saw held no token.
+// A response ends without its last frame, with an error or, by a fault in transit, without
+// one. The caller of a buffered response must get a typed refusal and no partial text; the
+// caller of a stream must get an explicit event and no [DONE], also when the frames that it
+// received held no token.
 func TestAnswerWithoutItsEndIsIncomplete(t *testing.T) {
 	for name, ended := range map[string]error{
 		"an error": refusal.New(refusal.CodeBackendFailed, "broke").WithRun(refusal.Ran), "no error": nil,
 	} {
-		url, key := serve(t, shortRunner{ended})
+		url, key := serve(t, truncatingRunner{ended})
 		if status, body := post(t, url, key, "false"); status != http.StatusBadGateway || !strings.Contains(body, `"run":"ran"`) {
 			t.Errorf("%s, whole: %d %s", name, status, body)
 		}
