--- a/transport/logsink/logsink_test.go
+++ b/transport/logsink/logsink_test.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// stuck is an output that nobody reads until it is released.
-type stuck struct {
+// blockedWriter is an output whose writes block until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Buffer.Write(b)
 }
 
-// Nobody reads the standard output. Who logs is not held up, the memory stays bounded,
-// and once the output is read again it says how many lines are missing.
-func TestOutputThatNobodyReads(t *testing.T) {
+// The standard output is not read. Logging must not block, the memory must stay bounded, and
+// once the output is read again the number of dropped lines must be logged.
+func TestBlockedOutputDropsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		s := New(out)
 		log := slog.New(slog.NewJSONHandler(s, nil))
-		began := time.Now()
+		start := time.Now()
 		for range 20_000 {
 			log.Info("request_refused", "request", "0123456789abcdef", "reason", "quota")
 			time.Sleep(time.Microsecond)
 		}
-		if took := time.Since(began); took > 21*time.Millisecond {
+		if took := time.Since(start); took > 21*time.Millisecond {
 			t.Errorf("logging took %s of virtual time", took)
 		}
 		if s.Dropped() == 0 {
@@ -56,7 +56,7 @@
 	})
 }
 
-// A calm process writes every line, in order, in few writes.
+// Without overload every line is written, in order.
 func TestLinesInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -78,7 +78,7 @@
 	})
 }
 
-// BenchmarkWrite is what a line costs who logs it.
+// BenchmarkWrite measures the cost of a line for the goroutine that logs it.
 func BenchmarkWrite(b *testing.B) {
 	log := slog.New(slog.NewJSONHandler(New(io.Discard), nil))
 	b.ReportAllocs()
