--- a/transport/metrics/store.go
+++ b/transport/metrics/store.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// resultError is the result of a call that got no answer.
+// resultError is the result of a call that got no response.
 const resultError = "error"
 
-// CountStoreCalls wraps the transport of the platform's client, so that each call is
-// counted where it is sent: the platform's budget counts calls, not outcomes.
+// CountStoreCalls wraps the transport of the platform's client, so that each call is counted
+// where it is sent: the platform's budget counts calls, whatever their outcome.
 func (r *Recorder) CountStoreCalls(next http.RoundTripper) http.RoundTripper {
 	return &storeTransport{next: next, recorder: r}
 }
@@ -24,27 +24,27 @@
 func (t *storeTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	start := time.Now()
 	resp, err := t.next.RoundTrip(req)
-	call, result := storeCall(req), resultError
+	call, result := storeCallName(req), resultError
 	if err == nil {
 		result = statusResult(resp.StatusCode)
 	}
-	t.recorder.store.WithLabelValues(call, result).Inc()
+	t.recorder.storeCalls.WithLabelValues(call, result).Inc()
 	if call != callWatch {
-		t.recorder.storeTime.WithLabelValues(call).Observe(time.Since(start).Seconds())
+		t.recorder.storeDuration.WithLabelValues(call).Observe(time.Since(start).Seconds())
 	}
 	return resp, err
 }
 
 const (
 	callWatch = "get_kv_watch"
-	kvPart    = "kv"
+	pathKV    = "kv"
 )
 
-// storeCall names a call by its method and path, without the ids in it.
-func storeCall(req *http.Request) string {
+// storeCallName names a call by its method and path, without the IDs in the path.
+func storeCallName(req *http.Request) string {
 	parts := strings.Split(strings.Trim(req.URL.Path, "/"), "/")
-	parts = parts[min(1, len(parts)):] // behind the API's version
-	if len(parts) > 1 && parts[0] != kvPart {
+	parts = parts[min(1, len(parts)):] // without the API version
+	if len(parts) > 1 && parts[0] != pathKV {
 		parts = parts[:1]
 	}
 	return strings.ToLower(req.Method) + "_" + strings.Join(parts, "_")
