--- a/transport/operator/operator.go
+++ b/transport/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves operators: the state dump, the status of the fleet as
-// this instance sees it, withdrawing keys, health, readiness and metrics.
+// Package operator serves the operators' HTTP API: the state dump, the status of the fleet as
+// seen by this instance, withdrawal of keys, health, readiness and metrics.
 package operator
 
 import (
@@ -48,13 +48,13 @@
 	return mux, nil
 }
 
-var errToken = errors.New("the operator's token is not valid")
+var errInvalidToken = errors.New("the operator's token is not valid")
 
 // HandleToken implements operatorapi.SecurityHandler.
 func (h *Handler) HandleToken(ctx context.Context, _ operatorapi.OperationName, t operatorapi.Token) (context.Context, error) {
 	sum := sha256.Sum256([]byte(t.Token))
 	if subtle.ConstantTimeCompare(sum[:], h.TokenSHA256[:]) != 1 {
-		return ctx, errToken
+		return ctx, errInvalidToken
 	}
 	return ctx, nil
 }
@@ -62,7 +62,7 @@
 // NewError implements operatorapi.Handler.
 func (h *Handler) NewError(_ context.Context, err error) *operatorapi.ErrorStatusCode {
 	status, code := http.StatusInternalServerError, "internal"
-	if errors.Is(err, errToken) {
+	if errors.Is(err, errInvalidToken) {
 		status, code = http.StatusUnauthorized, "unauthorized"
 	}
 	return &operatorapi.ErrorStatusCode{StatusCode: status, Response: operatorapi.Error{Code: code, Message: err.Error()}}
