--- a/transport/peer/credentials.go
+++ b/transport/peer/credentials.go
@@ -9,8 +9,8 @@
 	"github.com/basilroute/basilroute/transport/tlsconf"
 )
 
-// tlsCredentials reads the certificates anew for each handshake, so that changed
-// files need no restart.
+// tlsCredentials gets the certificates from the source for each handshake, so that changed
+// files take effect without a restart.
 type tlsCredentials struct {
 	credentials.TransportCredentials
 	source *tlsconf.Source
--- a/transport/peer/forward.go
+++ b/transport/peer/forward.go
@@ -14,8 +14,8 @@
 	"github.com/basilroute/basilroute/transport/dispatch"
 )
 
-// cancelWait is how long a peer has to end a cancelled stream by itself.
-const cancelWait = time.Second
+// cancelTimeout is how long a peer has to end a cancelled stream before the stream is closed.
+const cancelTimeout = time.Second
 
 // Forward implements dispatch.Forwarder.
 func (p *Pool) Forward(ctx context.Context, address string, w *dispatch.Work, sink dispatch.Sink) error {
@@ -23,22 +23,22 @@
 	if err != nil {
 		return refusal.New(refusal.CodePeerUnreachable, "%v", err)
 	}
-	streamCtx, cut := context.WithCancel(context.WithoutCancel(ctx))
-	defer cut()
+	streamCtx, closeStream := context.WithCancel(context.WithoutCancel(ctx))
+	defer closeStream()
 	req := encodeWork(w)
 	req.ConfigRevision = p.Revision()
 	stream, err := client.Forward(streamCtx, req)
 	if err != nil {
-		return broken(err)
+		return streamRefusal(err)
 	}
-	// A peer cannot tell a cancelled stream from a broken connection, and only a
-	// cancelled one may end the generation. So the peer is told, and the stream
-	// is cut only afterwards.
+	// A peer cannot distinguish a cancelled stream from a broken connection, and only a
+	// cancelled one may end the generation. So Cancel is called first, and the stream is
+	// closed afterwards.
 	stop := context.AfterFunc(ctx, func() {
-		defer cut()
-		told, done := context.WithTimeout(streamCtx, cancelWait)
+		defer closeStream()
+		cancelCtx, done := context.WithTimeout(streamCtx, cancelTimeout)
 		defer done()
-		_, _ = client.Cancel(told, cancelRequest(w, ""))
+		_, _ = client.Cancel(cancelCtx, cancelRequest(w, ""))
 	})
 	defer stop()
 	return receive(stream, w, sink)
@@ -49,79 +49,79 @@
 	Recv() (*peerpb.ForwardFrame, error)
 }
 
-// receive hands an answer on until it is whole. A stream that ends before that
-// is broken, also when it ends without an error.
+// receive passes the frames of a response to the sink until it is complete. A stream that ends
+// earlier is broken, even if it ends without an error.
 func receive(stream receiver, w *dispatch.Work, sink dispatch.Sink) error {
-	answer := &answer{work: w, sink: sink}
+	checker := &responseChecker{work: w, sink: sink}
 	if w.Generation != nil {
-		answer.next = w.Generation.FromSeq
+		checker.nextSeq = w.Generation.FromSeq
 	}
-	for !answer.whole {
+	for !checker.complete {
 		f, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			return unreachable("the peer ended the stream before the answer was whole")
+			return unreachableRefusal("the peer ended the stream before the answer was whole")
 		}
 		if err != nil {
-			return broken(err)
+			return streamRefusal(err)
 		}
-		if err := answer.take(f); err != nil {
+		if err := checker.accept(f); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// broken is what an error of the connection becomes. Unavailable may mean that
-// the peer never got the request, or that it did and died: grpc does not tell,
+// streamRefusal converts a connection error to a refusal. Unavailable may mean that the peer
+// never got the request, or that it got it and then crashed: grpc does not distinguish them,
 // so the run state is unknown.
-func broken(err error) *refusal.Refusal {
-	return unreachable(status.Convert(err).Message())
+func streamRefusal(err error) *refusal.Refusal {
+	return unreachableRefusal(status.Convert(err).Message())
 }
 
-func unreachable(message string) *refusal.Refusal {
+func unreachableRefusal(message string) *refusal.Refusal {
 	return refusal.New(refusal.CodePeerUnreachable, "peer: %s", message).WithRun(refusal.Unknown)
 }
 
-// answer checks the frames of one forwarded request.
-type answer struct {
-	work  *dispatch.Work
-	sink  dispatch.Sink
-	next  int64 // sequence of the frame that is wanted
-	whole bool
+// responseChecker checks the frames of one forwarded request and passes them to the sink.
+type responseChecker struct {
+	work     *dispatch.Work
+	sink     dispatch.Sink
+	nextSeq  int64 // sequence number of the next frame
+	complete bool
 }
 
-func (a *answer) take(f *peerpb.ForwardFrame) error {
+func (a *responseChecker) accept(f *peerpb.ForwardFrame) error {
 	if f.GetRequestId() != a.work.RequestID || int(f.GetAttempt()) != a.work.Attempt {
-		return nil // a frame of another request never reaches the caller
+		return nil // a frame of another request must never reach the caller
 	}
 	switch part := f.GetPart().(type) {
 	case *peerpb.ForwardFrame_Refusal:
 		return refusal.FromProto(part.Refusal)
 	case *peerpb.ForwardFrame_Body:
 		if a.work.Operation == nil {
-			return unreachable("a body in a generation's stream")
+			return unreachableRefusal("a body in a generation's stream")
 		}
-		a.whole = true
+		a.complete = true
 		return a.sink.Answer(f.GetServer(), part.Body)
 	case *peerpb.ForwardFrame_Tokens:
-		return a.tokens(f, part.Tokens)
+		return a.acceptTokens(f, part.Tokens)
 	}
 	return nil
 }
 
-// tokens drops a repeated frame. A gap means that frames were lost, and the
-// rest of the stream would not be the whole answer.
-func (a *answer) tokens(f *peerpb.ForwardFrame, part *peerpb.Tokens) error {
+// acceptTokens drops a duplicate frame. A gap means that frames were lost, so that the
+// response could not be complete.
+func (a *responseChecker) acceptTokens(f *peerpb.ForwardFrame, part *peerpb.Tokens) error {
 	switch {
 	case a.work.Generation == nil:
-		return unreachable("tokens in an operation's stream")
-	case f.GetSeq() < a.next:
+		return unreachableRefusal("tokens in an operation's stream")
+	case f.GetSeq() < a.nextSeq:
 		return nil
-	case f.GetSeq() > a.next:
-		return unreachable("frames are missing")
+	case f.GetSeq() > a.nextSeq:
+		return unreachableRefusal("frames are missing")
 	}
-	a.next++
-	a.whole = part.GetFinish() != ""
+	a.nextSeq++
+	a.complete = part.GetFinish() != ""
 	return a.sink.Frame(f.GetServer(), &frame.Frame{
 		RequestID: f.GetRequestId(), Attempt: int(f.GetAttempt()), Seq: f.GetSeq(),
 		Text: part.GetText(), Tokens: int(part.GetCount()), Finish: part.GetFinish(),
@@ -133,7 +133,7 @@
 	return &peerpb.CancelRequest{RequestId: w.RequestID, Attempt: uint32(w.Attempt), Service: w.Service, Server: server}
 }
 
-// Cancel implements dispatch.Forwarding.
+// Cancel implements dispatch.CancelingForwarder.
 func (p *Pool) Cancel(ctx context.Context, address string, w *dispatch.Work, server string) error {
 	client, err := p.Get(address)
 	if err != nil {
--- a/transport/peer/forward_test.go
+++ b/transport/peer/forward_test.go
@@ -14,13 +14,13 @@
 	"github.com/basilroute/basilroute/transport/dispatch"
 )
 
-// script is a peer's stream: its frames, then its end.
-type script struct {
+// scriptedStream is a peer's stream that returns its frames, then its final error.
+type scriptedStream struct {
 	frames []*peerpb.ForwardFrame
 	end    error
 }
 
-func (s *script) Recv() (*peerpb.ForwardFrame, error) {
+func (s *scriptedStream) Recv() (*peerpb.ForwardFrame, error) {
 	if len(s.frames) == 0 {
 		return nil, s.end
 	}
@@ -29,18 +29,18 @@
 	return f, nil
 }
 
-// gathered is a sink that keeps what it gets.
-type gathered struct {
+// recordingSink is a sink that records frames and counts bodies.
+type recordingSink struct {
 	frames []frame.Frame
 	bodies int
 }
 
-func (g *gathered) Frame(_ string, f *frame.Frame) error {
+func (g *recordingSink) Frame(_ string, f *frame.Frame) error {
 	g.frames = append(g.frames, *f)
 	return nil
 }
 
-func (g *gathered) Answer(string, []byte) error {
+func (g *recordingSink) Answer(string, []byte) error {
 	g.bodies++
 	return nil
 }
@@ -73,7 +73,8 @@
 	}
 }
 
-// Guards against a forwarded answer with frames that are missing, repeated or of another request.
+// Guards against a forwarded response with missing frames, duplicates or frames of another
+// request.
 func TestForwardedStreamIsWholeOrBroken(t *testing.T) {
 	var parts []*peerpb.ForwardFrame
 	for seq := range int64(tokenFrames) {
@@ -88,14 +89,14 @@
 			frames = rapid.SliceOfN(rapid.SampledFrom(parts), 0, 40).Draw(t, "frames")
 		}
 		end := rapid.SampledFrom([]error{io.EOF, io.ErrUnexpectedEOF}).Draw(t, "end")
-		got := &gathered{}
-		err := receive(&script{frames: frames, end: end}, generationWork(), got)
+		got := &recordingSink{}
+		err := receive(&scriptedStream{frames: frames, end: end}, generationWork(), got)
 		for i, f := range got.frames {
 			if f.RequestID != "own" || f.Seq != int64(i) {
 				t.Fatalf("frame %d is %+v", i, f)
 			}
 		}
-		if whole := len(got.frames) == tokenFrames; whole != (err == nil) {
+		if complete := len(got.frames) == tokenFrames; complete != (err == nil) {
 			t.Fatalf("%d frames, error %v", len(got.frames), err)
 		}
 		if got.bodies > 0 {
@@ -107,19 +108,19 @@
 	})
 }
 
-// Guards against an operation without an answer that looks like an empty one.
+// Guards against an operation without a response being taken for one with an empty response.
 func TestForwardedOperationNeedsItsAnswer(t *testing.T) {
 	for what, frames := range map[string][]*peerpb.ForwardFrame{
 		"nothing": nil, "tokens": {tokenFrame("own", 0)}, "another's answer": {bodyFrame("other")},
 	} {
-		got := &gathered{}
-		err := receive(&script{frames: frames, end: io.EOF}, operationWork(), got)
+		got := &recordingSink{}
+		err := receive(&scriptedStream{frames: frames, end: io.EOF}, operationWork(), got)
 		if err == nil || refusal.From(err).Run != refusal.Unknown || got.bodies > 0 {
 			t.Errorf("%s: %v, %d answers", what, err, got.bodies)
 		}
 	}
-	got := &gathered{}
-	if err := receive(&script{frames: []*peerpb.ForwardFrame{bodyFrame("other"), bodyFrame("own")}, end: io.EOF}, operationWork(), got); err != nil || got.bodies != 1 {
+	got := &recordingSink{}
+	if err := receive(&scriptedStream{frames: []*peerpb.ForwardFrame{bodyFrame("other"), bodyFrame("own")}, end: io.EOF}, operationWork(), got); err != nil || got.bodies != 1 {
 		t.Errorf("%v, %d answers", err, got.bodies)
 	}
 }
--- a/transport/peer/parts.go
+++ b/transport/peer/parts.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// ChunkBytes is how much of an update goes in one message: of ten that share a link of
-	// 10 Mbit/s each gets one in 130 ms, and sees that its sender lives.
+	// ChunkBytes is the size of the chunks of an update, one in each message. Ten streams that
+	// share a link of 10 Mbit/s get a chunk every 130 ms each, which shows the receivers that
+	// their senders are alive.
 	ChunkBytes = 16 << 10
-	// maxUpdateBytes bounds an update, packed and unpacked: a prefix of the store with a
-	// hundred thousand entries.
+	// maxUpdateBytes bounds an update, compressed and uncompressed. It suffices for a store prefix
+	// with a hundred thousand entries.
 	maxUpdateBytes = 32 << 20
 )
 
-var errUpdateTooLarge = errors.New("update is too large")
+var errUpdateTooLarge = errors.New("update exceeds 32 MiB")
 
-// PackUpdate serializes an update and deflates it: routes of a configuration differ in little,
-// and most of their bytes go.
+// PackUpdate serializes and deflates an update. Routes of a configuration differ little, so
+// they compress well.
 func PackUpdate(update *peerpb.FollowUpdate) ([]byte, error) {
 	plain, err := proto.Marshal(update)
 	if err != nil {
@@ -41,12 +42,12 @@
 	return packed.Bytes(), nil
 }
 
-// SendChunks sends a packed update.
+// SendChunks sends a packed update in chunks.
 func SendChunks(packed []byte, send func(*peerpb.FollowUpdate) error) error {
 	for {
-		part := packed[:min(len(packed), ChunkBytes)]
-		packed = packed[len(part):]
-		if err := send(&peerpb.FollowUpdate{Part: part, Last: len(packed) == 0}); err != nil {
+		chunk := packed[:min(len(packed), ChunkBytes)]
+		packed = packed[len(chunk):]
+		if err := send(&peerpb.FollowUpdate{Part: chunk, Last: len(packed) == 0}); err != nil {
 			return err
 		}
 		if len(packed) == 0 {
@@ -55,13 +56,14 @@
 	}
 }
 
-// Assembler puts the parts of updates together.
+// Assembler reassembles updates from their chunks.
 type Assembler struct{ packed []byte }
 
-// Incomplete tells whether parts of an update are still to come.
+// Incomplete reports whether chunks of an update are still missing.
 func (a *Assembler) Incomplete() bool { return len(a.packed) > 0 }
 
-// Add takes in a message and returns the update that is complete with it, or nil.
+// Add adds a message and returns the update that it completes, or nil. A message without a
+// chunk is returned as it is.
 func (a *Assembler) Add(message *peerpb.FollowUpdate) (*peerpb.FollowUpdate, error) {
 	if len(message.GetPart()) == 0 {
 		return message, nil
--- a/transport/peer/parts_test.go
+++ b/transport/peer/parts_test.go
@@ -10,7 +10,7 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-func noise(size int) []byte {
+func randomBytes(size int) []byte {
 	rng := rand.New(rand.NewPCG(1, 1))
 	out := make([]byte, size)
 	for i := range out {
@@ -25,10 +25,11 @@
 	}}}
 }
 
-// An update comes out of its parts as it went in, and messages of one piece pass between updates.
+// An update must equal the original after reassembly, and messages without a chunk must pass
+// between updates.
 func TestUpdateInParts(t *testing.T) {
 	var a Assembler
-	for _, value := range [][]byte{nil, noise(10), noise(ChunkBytes), noise(3*ChunkBytes + 1), bytes.Repeat([]byte("route"), 50_000)} {
+	for _, value := range [][]byte{nil, randomBytes(10), randomBytes(ChunkBytes), randomBytes(3*ChunkBytes + 1), bytes.Repeat([]byte("route"), 50_000)} {
 		want, messages := update(value), 0
 		packed, err := PackUpdate(want)
 		if err != nil {
@@ -37,22 +38,22 @@
 		var got *peerpb.FollowUpdate
 		err = SendChunks(packed, func(m *peerpb.FollowUpdate) (err error) {
 			if messages++; got != nil {
-				t.Error("complete before its last part")
+				t.Error("complete before its last chunk")
 			}
 			got, err = a.Add(m)
 			return err
 		})
 		if err != nil || !proto.Equal(got, want) || a.Incomplete() {
-			t.Errorf("%d bytes in %d parts: %v", len(value), messages, err)
+			t.Errorf("%d bytes in %d chunks: %v", len(value), messages, err)
 		}
-		if beat, err := a.Add(&peerpb.FollowUpdate{}); err != nil || beat == nil {
-			t.Errorf("beat: %v, %v", beat, err)
+		if heartbeat, err := a.Add(&peerpb.FollowUpdate{}); err != nil || heartbeat == nil {
+			t.Errorf("heartbeat: %v, %v", heartbeat, err)
 		}
 	}
 }
 
-// Guards against a peer whose small message unpacks into more memory than the instance has.
-func TestUpdateThatUnpacksWithoutBoundIsRefused(t *testing.T) {
+// Guards against a peer whose small message decompresses to more memory than the instance has.
+func TestOversizedUpdateIsRejected(t *testing.T) {
 	packed, err := PackUpdate(update(make([]byte, maxUpdateBytes+1)))
 	if err != nil {
 		t.Fatal(err)
@@ -63,6 +64,6 @@
 		return err
 	})
 	if err == nil {
-		t.Error("taken")
+		t.Error("an oversized update was accepted")
 	}
 }
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	pingAfter   = 10 * time.Second
-	pingTimeout = 3 * time.Second
-	// StreamWindow and ConnWindow are fixed: with grpc's own estimate of the
-	// window, peers answer a ping for nearly every token that is forwarded.
+	pingInterval = 10 * time.Second
+	pingTimeout  = 3 * time.Second
+	// StreamWindow and ConnWindow are the flow-control windows in bytes. They are fixed because,
+	// with grpc's dynamic window estimate, peers answer a ping for nearly every forwarded token.
 	StreamWindow = 1 << 20
-	ConnWindow   = 16 << 20 // for 160 ms there and back at 0.8 Gbit/s
-	// readBuffer is of each connection, in bytes. In a large fleet most connections carry a few
-	// small messages in a second, and grpc's own 32 KiB for each are most of the heap.
-	readBuffer = 4 << 10
+	ConnWindow   = 16 << 20 // for a round trip of 160 ms at 0.8 Gbit/s
+	// readBufferBytes is the read buffer of each connection. In a large fleet most connections
+	// carry a few small messages per second, and grpc's default of 32 KiB per connection would be
+	// most of the heap.
+	readBufferBytes = 4 << 10
 )
 
-// redial is between tries to connect. After a restart of the whole fleet each
-// instance waits for word from all others, and grpc's own first pause of a second
-// would be most of that wait.
-var redial = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
+// connectBackoff is the backoff between connection attempts. After a restart of the whole
+// fleet each instance waits for reports from all others, and grpc's default base delay of one
+// second would be most of that wait.
+var connectBackoff = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
 
-// connectTimeout bounds one try: three times the longest way there and back. The first
-// packet to an instance that has no power yet is lost, and TCP sends it again only
-// after a second.
+// connectTimeout bounds one connection attempt: three times the longest round trip. The first
+// packet to an instance that is still powered off is lost, and TCP retransmits it only after
+// a second.
 const connectTimeout = 500 * time.Millisecond
 
 // Pool holds one connection to each peer.
 type Pool struct {
-	// Revision is the configuration in force here. A peer that has an older one
-	// waits for it before it refuses a key that it does not know.
+	// Revision returns the revision of the configuration in force on this instance. A peer
+	// that has an older one waits for it before it refuses a key that it does not know.
 	Revision func() int64
 
 	options []grpc.DialOption
@@ -48,24 +49,25 @@
 	conns map[string]*grpc.ClientConn
 }
 
-// NewPool returns a pool without connections. More options than the pool's own apply to each.
+// NewPool returns a pool without connections. The additional options apply to every
+// connection.
 func NewPool(creds credentials.TransportCredentials, more ...grpc.DialOption) *Pool {
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
-		grpc.WithDisableRetry(), // a forwarded request is retried by the first instance only
+		grpc.WithDisableRetry(), // only the first instance retries a forwarded request
 		grpc.WithDisableServiceConfig(),
 		grpc.WithInitialWindowSize(StreamWindow),
 		grpc.WithInitialConnWindowSize(ConnWindow),
-		grpc.WithReadBufferSize(readBuffer),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: redial, MinConnectTimeout: connectTimeout}),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout}),
+		grpc.WithReadBufferSize(readBufferBytes),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: connectBackoff, MinConnectTimeout: connectTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingInterval, Timeout: pingTimeout}),
 	}
 	return &Pool{
 		Revision: func() int64 { return 0 }, options: append(options, more...), conns: make(map[string]*grpc.ClientConn),
 	}
 }
 
-// Get returns a client for the peer at an address. It makes no call.
+// Get returns a client for the peer at an address. It does not connect; the first call does.
 func (p *Pool) Get(address string) (peerpb.PeerClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,19 +83,20 @@
 	return peerpb.NewPeerClient(conn), nil
 }
 
-// Drop gives up the connection to an address; the next call makes a new one. grpc writes a last
-// frame before it closes, which takes seconds over a link that is full: closing does not hold the lock.
+// Drop removes the connection to an address and closes it in the background; the next Get
+// creates a new one. Before closing, grpc writes a last frame, which takes seconds over a
+// saturated link, so the lock is not held meanwhile.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	conn := p.conns[address]
 	delete(p.conns, address)
 	p.mu.Unlock()
 	if conn != nil {
-		go func() { _ = conn.Close() }() // calls under way fail
+		go func() { _ = conn.Close() }() // calls in flight fail
 	}
 }
 
-// Close ends every connection.
+// Close closes every connection.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	conns := p.conns
--- a/transport/peer/pool_test.go
+++ b/transport/peer/pool_test.go
@@ -13,8 +13,9 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// stuckConn is a connection whose writes block once it is stuck, until it is closed.
-type stuckConn struct {
+// blockingConn is a connection whose writes block once stuck is closed, until the connection
+// is closed.
+type blockingConn struct {
 	net.Conn
 	stuck   <-chan struct{}
 	closing chan struct{} // closed at the first write deadline, which a transport sets to close
@@ -23,7 +24,7 @@
 	last    sync.Once
 }
 
-func (c *stuckConn) Write(b []byte) (int, error) {
+func (c *blockingConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.stuck:
 		<-c.closed
@@ -33,17 +34,17 @@
 	}
 }
 
-func (c *stuckConn) SetWriteDeadline(time.Time) error {
+func (c *blockingConn) SetWriteDeadline(time.Time) error {
 	c.once.Do(func() { close(c.closing) })
 	return nil
 }
 
-func (c *stuckConn) Close() error {
+func (c *blockingConn) Close() error {
 	c.last.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// Guards against a peer whose link is full holding up the calls to all others when it is dropped.
+// Guards against Drop of a peer on a saturated link blocking calls to all other peers.
 func TestDroppingAStuckConnectionHoldsUpNoOther(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,13 +58,13 @@
 	stuck, closing := make(chan struct{}), make(chan struct{})
 	pool := NewPool(insecure.NewCredentials(), grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-		return &stuckConn{Conn: c, stuck: stuck, closing: closing, closed: make(chan struct{})}, err
+		return &blockingConn{Conn: c, stuck: stuck, closing: closing, closed: make(chan struct{})}, err
 	}))
 	client, err := pool.Get(l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = client.Exchange(t.Context(), &peerpb.ExchangeRequest{}) // the answer, unimplemented, shows that it is connected
+	_, _ = client.Exchange(t.Context(), &peerpb.ExchangeRequest{}) // the response, Unimplemented, shows that the connection is up
 	close(stuck)
 
 	go pool.Drop(l.Addr().String())
@@ -73,13 +74,13 @@
 		_, err := pool.Get("192.0.2.1:1")
 		got <- err
 	}()
-	const patience = 2 * time.Second // less than grpc waits for a last write
+	const getTimeout = 2 * time.Second // shorter than grpc waits for the last write
 	select {
 	case err := <-got:
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(getTimeout):
 		t.Error("another peer waits for the end of the dropped connection")
 	}
 }
--- a/transport/peer/quarantine.go
+++ b/transport/peer/quarantine.go
@@ -7,7 +7,7 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// EncodeQuarantines returns the messages of a list's records.
+// EncodeQuarantines converts quarantine records to messages.
 func EncodeQuarantines(records []quarantine.Record) []*peerpb.Quarantine {
 	out := make([]*peerpb.Quarantine, 0, len(records))
 	for _, r := range records {
@@ -20,7 +20,7 @@
 	return out
 }
 
-// DecodeQuarantine is the reverse for one record.
+// DecodeQuarantine converts a message to a quarantine record.
 func DecodeQuarantine(q *peerpb.Quarantine) quarantine.Record {
 	r := quarantine.Record{
 		Fingerprint: q.GetFingerprint(), Crashes: int(q.GetCrashes()), Until: time.UnixMilli(q.GetUntilUnixMs()),
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -8,7 +8,7 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// Quota answers what peers ask about loans and slots.
+// Quota handles the calls of peers about loans and slots.
 type Quota interface {
 	Borrow(req *peerpb.BorrowRequest) *peerpb.BorrowResponse
 	Promise(req *peerpb.PromiseRequest) *peerpb.PromiseResponse
@@ -44,8 +44,8 @@
 	return req
 }
 
-// DecodeBorrow returns what a borrower wants and reports. Reports for another
-// incarnation of the lender are left out: its loans are gone.
+// DecodeBorrow returns the loan requests and loan reports of a borrower. Reports for another
+// incarnation of the lender are left out, since its loans no longer exist.
 func DecodeBorrow(self slots.Member, req *peerpb.BorrowRequest) ([]quota.LoanRequest, []quota.LoanReport) {
 	var wants []quota.LoanRequest
 	for _, w := range req.GetWants() {
@@ -64,7 +64,7 @@
 	return wants, reports
 }
 
-// EncodeGrants returns a lender's answer.
+// EncodeGrants returns a lender's response, without empty grants.
 func EncodeGrants(self slots.Member, lent []quota.LoanGrant) *peerpb.BorrowResponse {
 	resp := &peerpb.BorrowResponse{Incarnation: self.Incarnation, ValidMs: quota.LoanValidity.Milliseconds()}
 	for _, item := range lent {
@@ -75,8 +75,9 @@
 	return resp
 }
 
-// DecodeGrants returns what was lent; not nil, unless the lender has restarted since the
-// call was planned, or goes by another validity: then it lends nothing.
+// DecodeGrants returns the grants of a lender's response, never nil for a valid one. It
+// returns nil if the lender has restarted since the call was planned, or if its loans are
+// valid for a shorter time than loans are here: the response then grants nothing.
 func DecodeGrants(c *quota.Call, resp *peerpb.BorrowResponse) []quota.LoanGrant {
 	if resp.GetIncarnation() != c.Lender.Incarnation || resp.GetValidMs() < quota.LoanValidity.Milliseconds() {
 		return nil
--- a/transport/peer/running.go
+++ b/transport/peer/running.go
@@ -9,9 +9,9 @@
 	"github.com/basilroute/basilroute/transport/dispatch"
 )
 
-// rememberFor is at least how long a forwarded request is remembered. grpc
-// sends a request again within moments, if at all.
-const rememberFor = time.Minute
+// attemptRetention is the minimum time that a forwarded attempt is remembered. grpc resends a
+// request within moments, if at all.
+const attemptRetention = time.Minute
 
 // attempt identifies one attempt of a request.
 type attempt struct {
@@ -19,36 +19,36 @@
 	number    int
 }
 
-// forwarded is one forwarded request that runs here.
-type forwarded struct {
+// runningForward is a forwarded request that runs on this instance.
+type runningForward struct {
 	attempt attempt
 	cancel  context.CancelCauseFunc
 }
 
-// running holds the forwarded requests that run here, so that they can be
-// cancelled, and the newest ones that ran, so that none runs twice.
-type running struct {
-	mu      sync.Mutex
-	current map[attempt]*forwarded
-	seen    map[attempt]struct{} // since turned
-	before  map[attempt]struct{} // of the time before
-	turned  time.Time
+// forwardTable holds the forwarded requests that run on this instance, so that they can be
+// cancelled, and the attempts received recently, so that none runs twice.
+type forwardTable struct {
+	mu        sync.Mutex
+	current   map[attempt]*runningForward
+	seen      map[attempt]struct{} // received since rotatedAt
+	previous  map[attempt]struct{} // received in the period before rotatedAt
+	rotatedAt time.Time
 }
 
 // begin registers work.
 //
-// It refuses an attempt that it has seen: grpc may send a request again by
-// itself when a connection ends, also with retries switched off, and a purchase
-// order would run twice. Remembering suffices because such a resend is at once
-// and to the same peer. Resuming is no second run, so it is let through.
-func (r *running) begin(w *dispatch.Work, cancel context.CancelCauseFunc, now time.Time) (*forwarded, *refusal.Refusal) {
-	f := &forwarded{attempt{w.RequestID, w.Attempt}, cancel}
+// It refuses an attempt that it has already received: grpc may resend a request when a
+// connection ends, even with retries disabled, and a purchase order would run twice.
+// Remembering recent attempts suffices because such a resend is immediate and goes to the
+// same peer. Resuming a stream does not run the request again, so it is admitted.
+func (r *forwardTable) begin(w *dispatch.Work, cancel context.CancelCauseFunc, now time.Time) (*runningForward, *refusal.Refusal) {
+	f := &runningForward{attempt{w.RequestID, w.Attempt}, cancel}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.turn(now)
+	r.rotate(now)
 	_, seen := r.seen[f.attempt]
-	_, before := r.before[f.attempt]
-	if (seen || before) && !resumes(w) {
+	_, seenEarlier := r.previous[f.attempt]
+	if (seen || seenEarlier) && !isResume(w) {
 		return nil, refusal.New(refusal.CodeConflict, "this attempt was sent here before").WithRun(refusal.Unknown)
 	}
 	r.seen[f.attempt] = struct{}{}
@@ -56,22 +56,22 @@
 	return f, nil
 }
 
-func resumes(w *dispatch.Work) bool {
+func isResume(w *dispatch.Work) bool {
 	return w.Generation != nil && w.Generation.FromSeq > 0
 }
 
-func (r *running) turn(now time.Time) {
+func (r *forwardTable) rotate(now time.Time) {
 	if r.current == nil {
-		r.current = make(map[attempt]*forwarded)
+		r.current = make(map[attempt]*runningForward)
 	}
-	if r.seen == nil || now.Sub(r.turned) > rememberFor {
-		r.before, r.seen, r.turned = r.seen, make(map[attempt]struct{}), now
+	if r.seen == nil || now.Sub(r.rotatedAt) > attemptRetention {
+		r.previous, r.seen, r.rotatedAt = r.seen, make(map[attempt]struct{}), now
 	}
 }
 
-// end takes a request off. Its attempt may have been resumed here in the
-// meantime; then the newer one stays.
-func (r *running) end(f *forwarded) {
+// end removes a request. If its attempt has been resumed on this instance in the meantime, the
+// newer entry stays.
+func (r *forwardTable) end(f *runningForward) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.current[f.attempt] == f {
@@ -79,8 +79,8 @@
 	}
 }
 
-// cancel ends a request that runs here; false when none does.
-func (r *running) cancel(requestID string, number int, cause error) bool {
+// cancel cancels a running request and reports whether there was one.
+func (r *forwardTable) cancel(requestID string, number int, cause error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f, ok := r.current[attempt{requestID, number}]
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -16,19 +16,19 @@
 	"github.com/basilroute/basilroute/transport/dispatch"
 )
 
-// Runner runs forwarded work in the own failure domain.
+// Runner runs forwarded work in the local failure domain.
 type Runner interface {
 	RunForwarded(ctx context.Context, w *dispatch.Work, sink dispatch.Sink) error
-	// CancelForwarded ends a generation on a server of the own failure domain.
+	// CancelForwarded cancels a generation on a server of the local failure domain.
 	CancelForwarded(service, server, requestID string)
 }
 
-// Exchanger answers membership exchanges.
+// Exchanger handles membership exchanges.
 type Exchanger interface {
 	Exchange(req *peerpb.ExchangeRequest) *peerpb.ExchangeResponse
 }
 
-// Follower hands on what changes in the store.
+// Follower streams the updates of the store to peers.
 type Follower interface {
 	Follow(req *peerpb.FollowRequest, stream grpc.ServerStreamingServer[peerpb.FollowUpdate]) error
 }
@@ -41,20 +41,20 @@
 	Quota     Quota
 	Follower  Follower // may be nil
 
-	running running
+	running forwardTable
 }
 
-// minPing is how often a peer may ping. Without it grpc allows a ping in five
-// minutes and cuts the connection, with all its streams, of a peer that pings as
-// Pool does.
-const minPing = pingAfter / 2
+// minPingInterval is the shortest ping interval that is allowed to a peer. grpc's default of
+// five minutes would close the connection, with all its streams, of a peer that pings as
+// often as Pool does.
+const minPingInterval = pingInterval / 2
 
-// ServerOptions are the options that a grpc server for peers needs.
+// ServerOptions returns the options that a grpc server for peers needs.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
-		grpc.ReadBufferSize(readBuffer),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPing, PermitWithoutStream: true}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingTimeout}),
+		grpc.ReadBufferSize(readBufferBytes),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}),
 	}
 }
 
@@ -66,7 +66,7 @@
 // Follow implements peerpb.PeerServer.
 func (s *Server) Follow(req *peerpb.FollowRequest, stream grpc.ServerStreamingServer[peerpb.FollowUpdate]) error {
 	if s.Follower == nil {
-		return status.Error(codes.Unimplemented, "this instance is not followed")
+		return status.Error(codes.Unimplemented, "this instance does not serve store updates")
 	}
 	return s.Follower.Follow(req, stream)
 }
@@ -82,13 +82,13 @@
 	w := decodeWork(req)
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(stream.Context()), w.Deadline)
 	defer cancel()
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	detach := func() { end(dispatch.ErrDetached) }
+	ctx, cancelRun := context.WithCancelCause(ctx)
+	defer cancelRun(nil)
+	detach := func() { cancelRun(dispatch.ErrDetached) }
 	out := &streamSink{stream: stream, work: w, detach: detach}
-	forwarded, refused := s.running.begin(w, end, time.Now())
+	forwarded, refused := s.running.begin(w, cancelRun, time.Now())
 	if refused != nil {
-		return stream.Send(out.wrap("", &peerpb.ForwardFrame_Refusal{Refusal: refused.ToProto()}))
+		return stream.Send(out.newFrame("", &peerpb.ForwardFrame_Refusal{Refusal: refused.ToProto()}))
 	}
 	defer s.running.end(forwarded)
 	stop := context.AfterFunc(stream.Context(), detach)
@@ -97,21 +97,21 @@
 	if err == nil || out.failed {
 		return nil
 	}
-	return stream.Send(out.wrap("", &peerpb.ForwardFrame_Refusal{Refusal: refusal.From(err).ToProto()}))
+	return stream.Send(out.newFrame("", &peerpb.ForwardFrame_Refusal{Refusal: refusal.From(err).ToProto()}))
 }
 
-// Cancel implements peerpb.PeerServer. A request that does not run here may have
-// been detached; then its generation is ended on its engine.
+// Cancel implements peerpb.PeerServer. A request that does not run on this instance may have
+// been detached; its generation is then cancelled on its engine.
 func (s *Server) Cancel(_ context.Context, req *peerpb.CancelRequest) (*peerpb.CancelResponse, error) {
-	gone := refusal.New(refusal.CodeIncomplete, "the caller does not wait any more").WithRun(refusal.Unknown)
-	ended := s.running.cancel(req.GetRequestId(), int(req.GetAttempt()), gone)
+	callerGone := refusal.New(refusal.CodeIncomplete, "the caller does not wait any more").WithRun(refusal.Unknown)
+	ended := s.running.cancel(req.GetRequestId(), int(req.GetAttempt()), callerGone)
 	if !ended && req.GetServer() != "" {
 		s.Runner.CancelForwarded(req.GetService(), req.GetServer(), req.GetRequestId())
 	}
 	return &peerpb.CancelResponse{}, nil
 }
 
-// streamSink sends an answer to the first instance.
+// streamSink sends a response to the first instance.
 type streamSink struct {
 	stream grpc.ServerStreamingServer[peerpb.ForwardFrame]
 	work   *dispatch.Work
@@ -119,7 +119,7 @@
 	failed bool
 }
 
-func (s *streamSink) wrap(server string, part any) *peerpb.ForwardFrame {
+func (s *streamSink) newFrame(server string, part any) *peerpb.ForwardFrame {
 	f := &peerpb.ForwardFrame{RequestId: s.work.RequestID, Attempt: uint32(s.work.Attempt), Server: server}
 	switch part := part.(type) {
 	case *peerpb.ForwardFrame_Refusal:
@@ -143,7 +143,7 @@
 
 // Frame implements dispatch.Sink.
 func (s *streamSink) Frame(server string, f *frame.Frame) error {
-	out := s.wrap(server, &peerpb.ForwardFrame_Tokens{Tokens: &peerpb.Tokens{
+	out := s.newFrame(server, &peerpb.ForwardFrame_Tokens{Tokens: &peerpb.Tokens{
 		Text: f.Text, Count: uint32(f.Tokens), Finish: f.Finish,
 		PromptTokens: uint32(f.PromptTokens), CachedTokens: uint32(f.CachedTokens),
 	}})
@@ -153,5 +153,5 @@
 
 // Answer implements dispatch.Sink.
 func (s *streamSink) Answer(server string, body []byte) error {
-	return s.send(s.wrap(server, &peerpb.ForwardFrame_Body{Body: body}))
+	return s.send(s.newFrame(server, &peerpb.ForwardFrame_Body{Body: body}))
 }
--- a/transport/peer/server_test.go
+++ b/transport/peer/server_test.go
@@ -18,17 +18,17 @@
 	"github.com/basilroute/basilroute/transport/dispatch"
 )
 
-// runner counts what it is given and runs until its context ends.
+// runner counts the requests that it gets and runs each until its context ends.
 type runner struct {
 	mu        sync.Mutex
 	runs      int
-	begun     chan struct{}
+	started   chan struct{}
 	causes    chan error
 	cancelled chan string
 }
 
 func newRunner() *runner {
-	return &runner{begun: make(chan struct{}, 10), causes: make(chan error, 10), cancelled: make(chan string, 10)}
+	return &runner{started: make(chan struct{}, 10), causes: make(chan error, 10), cancelled: make(chan string, 10)}
 }
 
 func (r *runner) RunForwarded(ctx context.Context, w *dispatch.Work, sink dispatch.Sink) error {
@@ -38,7 +38,7 @@
 	if w.Generation != nil {
 		_ = sink.Frame("engine", &frame.Frame{RequestID: w.RequestID, Attempt: w.Attempt, Seq: w.Generation.FromSeq, Tokens: 1})
 	}
-	r.begun <- struct{}{}
+	r.started <- struct{}{}
 	<-ctx.Done()
 	r.causes <- context.Cause(ctx)
 	return refusal.From(context.Cause(ctx))
@@ -54,7 +54,7 @@
 	return r.runs
 }
 
-// relay passes bytes on until it is cut.
+// relay copies bytes between two connections until it is cut.
 type relay struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -116,16 +116,16 @@
 	return pool
 }
 
-// Guards against an order that grpc sends again after its link was cut.
+// Guards against an order that grpc sends again after its connection broke.
 func TestCutLinkIsNotResent(t *testing.T) {
 	r := newRunner()
 	link := newRelay(t, startServer(t, r))
 	pool := newPool(t)
 	failed := make(chan error, 1)
 	go func() {
-		failed <- pool.Forward(t.Context(), link.listener.Addr().String(), operationWork(), &gathered{})
+		failed <- pool.Forward(t.Context(), link.listener.Addr().String(), operationWork(), &recordingSink{})
 	}()
-	<-r.begun
+	<-r.started
 	link.cut()
 	if err := <-failed; refusal.From(err).Run != refusal.Unknown || refusal.From(err).Code != refusal.CodePeerUnreachable {
 		t.Errorf("refused with %v", err)
@@ -136,16 +136,16 @@
 	}
 }
 
-// Guards against an attempt that grpc sends twice by itself and that runs twice.
+// Guards against running an attempt twice that grpc has resent.
 func TestSameAttemptRunsOnce(t *testing.T) {
 	r := newRunner()
 	address := startServer(t, r)
 	pool := newPool(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go func() { _ = pool.Forward(ctx, address, operationWork(), &gathered{}) }()
-	<-r.begun
-	err := pool.Forward(ctx, address, operationWork(), &gathered{})
+	go func() { _ = pool.Forward(ctx, address, operationWork(), &recordingSink{}) }()
+	<-r.started
+	err := pool.Forward(ctx, address, operationWork(), &recordingSink{})
 	if got := refusal.From(err); got.Code != refusal.CodeConflict || got.Run != refusal.Unknown {
 		t.Errorf("refused with %v", err)
 	}
@@ -154,7 +154,7 @@
 	}
 }
 
-// Guards against a cut link that cancels a generation which could be resumed.
+// Guards against a broken connection cancelling a generation that could be resumed.
 func TestPeerTellsCancelFromCut(t *testing.T) {
 	r := newRunner()
 	link := newRelay(t, startServer(t, r))
@@ -164,17 +164,17 @@
 	forward := func(ctx context.Context, id string) {
 		w := generationWork()
 		w.RequestID = id
-		ended <- pool.Forward(ctx, link.listener.Addr().String(), w, &gathered{})
+		ended <- pool.Forward(ctx, link.listener.Addr().String(), w, &recordingSink{})
 	}
 	go forward(ctx, "cancelled")
-	<-r.begun
+	<-r.started
 	cancel()
 	if cause := <-r.causes; refusal.From(cause).Code != refusal.CodeIncomplete {
 		t.Errorf("a cancelled run ended by %v", cause)
 	}
 	<-ended
 	go forward(t.Context(), "cut")
-	<-r.begun
+	<-r.started
 	link.cut()
 	if cause := <-r.causes; !errors.Is(cause, dispatch.ErrDetached) {
 		t.Errorf("a cut run ended by %v", cause)
@@ -182,7 +182,8 @@
 	<-ended
 }
 
-// Guards against a generation that runs on after a broken link although its caller has gone.
+// Guards against a generation that continues after a broken connection although its caller
+// has gone.
 func TestDetachedGenerationIsCancelled(t *testing.T) {
 	r := newRunner()
 	pool := newPool(t)
--- a/transport/peer/size_test.go
+++ b/transport/peer/size_test.go
@@ -10,9 +10,9 @@
 	"github.com/basilroute/basilroute/coordination/slots"
 )
 
-// BenchmarkSizeBorrow reports the bytes of a call for loans and its answer over
-// the number of accounts that share it. Each account wants tokens and reports on
-// the loan before. gRPC adds its headers to each call.
+// BenchmarkSizeBorrow reports the bytes of a Borrow call and its response by the number of
+// accounts in it. Each account requests tokens and reports on its previous loan. The headers
+// that gRPC adds to each call are not counted.
 func BenchmarkSizeBorrow(b *testing.B) {
 	from := slots.Member{ID: "suva-a-1-entry-17", Incarnation: 1764720000000000000}
 	for _, n := range []int{1, 10, 50, 200} {
