--- a/transport/platform/nonce.go
+++ b/transport/platform/nonce.go
@@ -7,10 +7,10 @@
 	"github.com/google/uuid"
 )
 
-// newNonce returns a UUIDv7 that sorts after another one. Nonces order the
-// writes of a key also when the store was restored and hands out revisions
-// again; the writers' clocks alone would put a write behind the one that it
-// replaces when its writer's clock is slow.
+// newNonce returns a UUIDv7 that sorts after another one. Nonces order the writes of a key even
+// when the store was restored from a backup and assigns revisions again. The writers' clocks
+// alone do not suffice: a writer with a slow clock would sort its write before the one that
+// it replaces.
 func newNonce(after string) (string, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -1,10 +1,10 @@
-// Package platform is the client of the platform's services: the key-value
-// store with compare-and-swap, leases and watches, and the list of instances.
+// Package platform is the client of the platform's services: the key-value store with
+// compare-and-swap, leases and watches, and the list of instances.
 //
-// Every call has a deadline and is counted against a budget, a waiting watch as
-// one. A write whose answer was lost is settled by reading it back: every value
-// is stored behind a nonce of the write, so that the writer can tell its own
-// value from another's.
+// Every call has a deadline and is counted against a rate limit; a waiting watch counts as one
+// call. When the response to a write is lost, the writer reads the value back: every value is
+// stored with a nonce of its write, so that the writer can distinguish its own value from
+// another's.
 package platform
 
 import (
@@ -30,24 +30,24 @@
 	Deleted  bool
 	Nonce    string // of the write, a UUIDv7 that orders writes; empty when another program wrote the value
 
-	write string // nonce of the write when that is another one
+	writeNonce string // nonce of the write, if it differs from Nonce
 }
 
-// Write is a compare-and-swap.
+// Write is a compare-and-swap of one key.
 type Write struct {
 	Key            string
 	Value          []byte
-	ExpectRevision int64 // revision the key must have; 0 when it must not exist, ExpectAny for any
-	Lease          int64 // the key ends with the lease; 0 for none
+	ExpectRevision int64 // revision that the key must have; 0 when it must not exist, ExpectAny for any
+	Lease          int64 // the key is deleted when the lease expires; 0 for none
 	Delete         bool
-	AfterNonce     string // nonce that the new one has to come after, by any clock; may be empty
-	Nonce          string // of a value that is written back as it was; a new one when empty
+	AfterNonce     string // nonce that the new one must sort after, whatever the clocks say; may be empty
+	Nonce          string // of a value that is written back unchanged; a new one when empty
 }
 
-// ExpectAny lets a write stand whatever the key holds.
+// ExpectAny makes a write take effect whatever revision the key has.
 const ExpectAny = -1
 
-// Errors of the store. Every other error leaves the outcome of a write open.
+// Errors of the store. After any other error the outcome of a write is unknown.
 var (
 	ErrNotFound      = errors.New("key not found")
 	ErrConflict      = errors.New("the key has another revision")
@@ -61,10 +61,10 @@
 	Get(ctx context.Context, key string) (KeyValue, error)
 	// List returns the keys under a prefix that changed after a revision, and the store's revision.
 	List(ctx context.Context, prefix string, after int64) ([]KeyValue, int64, error)
-	// Watch is List, but waits up to wait for a change. A store that drops old changes
-	// answers ErrCompacted when it no longer has all since after.
+	// Watch is List, but waits up to wait for a change. A store that compacts its history
+	// returns ErrCompacted when it no longer has all changes since after.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]KeyValue, int64, error)
-	// Put returns the revision written. It settles lost answers until ctx ends.
+	// Put returns the revision written. It retries after lost responses until ctx ends.
 	Put(ctx context.Context, w Write) (int64, error)
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
 	KeepAlive(ctx context.Context, lease int64) error
@@ -79,18 +79,18 @@
 // Settings of a Client.
 type Settings struct {
 	URL         string
-	CallTimeout time.Duration // without a byte of an answer, on top of a watch's wait
+	CallTimeout time.Duration // without a byte of a response, on top of a watch's wait
 	CallRate    float64       // calls per second
 	CallBurst   int
 }
 
 const (
-	nonceBytes = 36 // text form of a UUID
-	minBackoff = 20 * time.Millisecond
-	maxBackoff = time.Second
-	headerEnd  = '\n'
-	writeStart = ' '
-	maxHeader  = 2*nonceBytes + 1
+	nonceBytes     = 36 // text form of a UUID
+	minBackoff     = 20 * time.Millisecond
+	maxBackoff     = time.Second
+	headerEnd      = '\n'
+	nonceSeparator = ' '
+	maxHeader      = 2*nonceBytes + 1
 )
 
 // Client implements Store and Lister over HTTP.
@@ -113,15 +113,16 @@
 	}, nil
 }
 
-// call waits for the budget and runs one call, which ends when nothing of its answer comes in time.
+// call waits for the rate limit and makes one call, which times out when no byte of its response
+// arrives in time.
 func (c *Client) call(ctx context.Context, extra time.Duration, do func(context.Context) error) error {
 	if err := c.budget.Wait(ctx); err != nil {
 		return errors.Wrap(err, "platform call budget")
 	}
-	return typed(do(httpidle.WithTimeouts(ctx, c.settings.CallTimeout+extra, c.settings.CallTimeout)))
+	return typedError(do(httpidle.WithTimeouts(ctx, c.settings.CallTimeout+extra, c.settings.CallTimeout)))
 }
 
-func typed(err error) error {
+func typedError(err error) error {
 	var status *platformapi.ErrorStatusCode
 	if !errors.As(err, &status) {
 		return err
@@ -149,11 +150,11 @@
 	if err != nil {
 		return KeyValue{}, err
 	}
-	return open(*found), nil
+	return decodeValue(*found), nil
 }
 
-// open splits a stored value into its header and the value itself.
-func open(stored platformapi.KeyValue) KeyValue {
+// decodeValue splits a stored value into its header and the value itself.
+func decodeValue(stored platformapi.KeyValue) KeyValue {
 	kv := KeyValue{
 		Key: stored.Key, Value: stored.Value, Revision: stored.Revision,
 		Lease: stored.Lease.Or(0), Deleted: stored.Deleted.Or(false),
@@ -162,39 +163,39 @@
 	if !ok || len(header) > maxHeader {
 		return kv
 	}
-	nonce, write, _ := bytes.Cut(header, []byte{writeStart})
+	nonce, write, _ := bytes.Cut(header, []byte{nonceSeparator})
 	if len(nonce) != nonceBytes {
 		return kv
 	}
-	kv.Value, kv.Nonce, kv.write = value, string(nonce), string(write)
+	kv.Value, kv.Nonce, kv.writeNonce = value, string(nonce), string(write)
 	return kv
 }
 
-// seal puts a header in front of the value: the value's nonce, and for one that
-// is written back also the nonce of this very write.
-func seal(nonce, write string, value []byte) []byte {
+// encodeValue prefixes the value with a header: the nonce of the value and, for a value that
+// is written back, also the nonce of this write.
+func encodeValue(nonce, write string, value []byte) []byte {
 	sealed := make([]byte, 0, maxHeader+1+len(value))
 	sealed = append(sealed, nonce...)
 	if write != nonce {
-		sealed = append(sealed, writeStart)
+		sealed = append(sealed, nonceSeparator)
 		sealed = append(sealed, write...)
 	}
 	sealed = append(sealed, headerEnd)
 	return append(sealed, value...)
 }
 
-// writer tells whose write the value is.
-func (kv KeyValue) writer() string {
-	if kv.write != "" {
-		return kv.write
+// writerNonce returns the nonce of the write that stored the value.
+func (kv KeyValue) writerNonce() string {
+	if kv.writeNonce != "" {
+		return kv.writeNonce
 	}
 	return kv.Nonce
 }
 
-func openAll(list *platformapi.KeyList) ([]KeyValue, int64) {
+func decodeValues(list *platformapi.KeyList) ([]KeyValue, int64) {
 	out := make([]KeyValue, len(list.Items))
 	for i, item := range list.Items {
-		out[i] = open(item)
+		out[i] = decodeValue(item)
 	}
 	return out, list.Revision
 }
@@ -209,7 +210,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	items, revision := openAll(list)
+	items, revision := decodeValues(list)
 	return items, revision, nil
 }
 
@@ -223,15 +224,15 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	items, revision := openAll(list)
+	items, revision := decodeValues(list)
 	return items, revision, nil
 }
 
 // Put implements Store.
 //
-// A lost answer leaves open whether the write took effect. Put sends the same
-// write again with the same nonce: a compare-and-swap takes effect once, and a
-// conflict is settled by reading which nonce stands.
+// When the response is lost, it is unknown whether the write took effect. Put sends the same
+// write again with the same nonce: a compare-and-swap takes effect once, and after a conflict
+// the stored nonce tells whose write it was.
 func (c *Client) Put(ctx context.Context, w Write) (int64, error) {
 	nonce, err := newNonce(w.AfterNonce)
 	if err != nil {
@@ -244,12 +245,12 @@
 		case err == nil:
 			return revision, nil
 		case errors.Is(err, ErrConflict) && !first:
-			return c.settle(ctx, w, nonce)
+			return c.resolveConflict(ctx, w, nonce)
 		case errors.IsAny(err, ErrConflict, ErrLeaseNotFound, ErrRejected):
 			return 0, err
 		}
 		if !sleep(ctx, backoff) {
-			return 0, errors.Wrapf(err, "write of %s not settled", w.Key)
+			return 0, errors.Wrapf(err, "outcome of the write of %s is unknown", w.Key)
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
@@ -259,7 +260,7 @@
 	var result *platformapi.PutResult
 	err := c.call(ctx, 0, func(ctx context.Context) (err error) {
 		result, err = c.api.PutKey(ctx, &platformapi.PutRequest{
-			Key: w.Key, Value: seal(cmp.Or(w.Nonce, nonce), nonce, w.Value), Expect: w.ExpectRevision,
+			Key: w.Key, Value: encodeValue(cmp.Or(w.Nonce, nonce), nonce, w.Value), Expect: w.ExpectRevision,
 			Lease: platformapi.NewOptInt64(w.Lease), Delete: platformapi.NewOptBool(w.Delete),
 		})
 		return err
@@ -270,26 +271,26 @@
 	return result.Revision, nil
 }
 
-// settle finds out which write stands after a conflict that may be with the own
-// write.
-func (c *Client) settle(ctx context.Context, w Write, nonce string) (int64, error) {
+// resolveConflict finds out which write is stored after a conflict that the caller's own
+// earlier attempt may have caused.
+func (c *Client) resolveConflict(ctx context.Context, w Write, nonce string) (int64, error) {
 	for {
-		kv, err := c.standing(ctx, w)
+		kv, err := c.readStored(ctx, w)
 		switch {
-		case err == nil && kv.writer() == nonce:
+		case err == nil && kv.writerNonce() == nonce:
 			return kv.Revision, nil
 		case err == nil, errors.Is(err, ErrNotFound):
 			return 0, ErrConflict
 		}
 		if !sleep(ctx, minBackoff) {
-			return 0, errors.Wrapf(err, "write of %s not settled", w.Key)
+			return 0, errors.Wrapf(err, "outcome of the write of %s is unknown", w.Key)
 		}
 	}
 }
 
-// standing reads what stands in place of a write. A deletion leaves nothing to
-// get, only a marker in the list of changes.
-func (c *Client) standing(ctx context.Context, w Write) (KeyValue, error) {
+// readStored reads what is stored in place of a write. A deletion leaves only a marker in the
+// list of changes, which Get does not return.
+func (c *Client) readStored(ctx context.Context, w Write) (KeyValue, error) {
 	if !w.Delete {
 		return c.Get(ctx, w.Key)
 	}
--- a/transport/platform/platform_test.go
+++ b/transport/platform/platform_test.go
@@ -38,9 +38,9 @@
 	return server, client
 }
 
-// A write takes effect and its answer is lost, several times over. The writer
-// has to learn that its own write stands, at the revision at which it took
-// effect: as a failure it would be applied twice or reported as somebody else's.
+// Writes take effect and their responses are lost. The writer must learn that its own write is
+// stored, and at which revision: taken for a failure, the write would be applied twice or
+// reported as another writer's.
 func TestLostAnswersAreSettled(t *testing.T) {
 	server, client := open(t)
 	server.SetFaults(standin.Faults{LoseResponses: 1})
@@ -60,11 +60,11 @@
 	}
 }
 
-// afterFirst loses the answer of the first call and runs something before the
-// caller hears of it.
-type afterFirst struct{ then func() }
+// loseFirstResponse drops the response of the first call and calls then before the caller gets
+// the error.
+type loseFirstResponse struct{ then func() }
 
-func (a *afterFirst) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a *loseFirstResponse) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if a.then == nil || err != nil {
 		return resp, err
@@ -72,15 +72,15 @@
 	_ = resp.Body.Close()
 	a.then()
 	a.then = nil
-	return nil, errors.New("the answer is lost")
+	return nil, errors.New("the response is lost")
 }
 
-// A write takes effect, its answer is lost, and another operator writes before
-// the second try. What stands is not the own write: the writer has to hear of
-// the conflict, not that its write is in force.
+// A write takes effect, its response is lost, and another operator writes before the retry.
+// The stored value is not the writer's own: it must get a conflict and not be told that its
+// write is in force.
 func TestLostAnswerThenOverwrittenIsAConflict(t *testing.T) {
 	_, other, url := openAt(t)
-	lossy, err := platform.New(settings(url), &afterFirst{then: func() {
+	lossy, err := platform.New(settings(url), &loseFirstResponse{then: func() {
 		if _, err := other.Put(t.Context(), platform.Write{Key: "k", Value: []byte("theirs"), ExpectRevision: 1}); err != nil {
 			t.Error(err)
 		}
@@ -93,8 +93,8 @@
 	}
 }
 
-// Two operators change a document at the same time: one of them wins, the other
-// is told, and its change is not half in force.
+// Two operators change a document concurrently: one write takes effect, the other one gets a
+// conflict and has no effect.
 func TestRacingOperators(t *testing.T) {
 	_, client := open(t)
 	results := make(chan error, 2)
@@ -117,8 +117,8 @@
 	}
 }
 
-// The writer's clock is behind that of the one whose write it replaces. The
-// nonce has to come after all the same, or instances keep the older document.
+// The writer's clock is behind that of the writer whose value it replaces. The new nonce must
+// sort after the old one nevertheless, or instances keep the older document.
 func TestNonceComesAfterTheReplacedOne(t *testing.T) {
 	_, client := open(t)
 	const future = "ffff0000-0000-7000-8000-000000000000"
--- a/transport/platform/slow_test.go
+++ b/transport/platform/slow_test.go
@@ -14,7 +14,8 @@
 	"github.com/basilroute/basilroute/transport/platform"
 )
 
-// Guards against documents that together take longer than a call's timeout to arrive and so never do.
+// Guards against a list of documents that never arrives because it takes longer than the
+// timeout of a call.
 func TestManyDocumentsArriveOverASlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, documents, size = 256 << 10, 300, 4 << 10
@@ -25,14 +26,14 @@
 			t.Fatal(err)
 		}
 		network := link.NewNetwork()
-		instance, far := network.Add("instance", rate), network.Add("store:80", 100*rate)
-		served := &http.Server{Handler: handler}
-		go func() { _ = served.Serve(far) }()
+		instance, store := network.Add("instance", rate), network.Add("store:80", 100*rate)
+		httpServer := &http.Server{Handler: handler}
+		go func() { _ = httpServer.Serve(store) }()
 		transport := &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return instance.Dial(ctx, address)
 		}}
 		defer func() {
-			_ = served.Close()
+			_ = httpServer.Close()
 			transport.CloseIdleConnections()
 		}()
 		client, err := platform.New(platform.Settings{
