--- a/transport/tlsconf/tlsconf.go
+++ b/transport/tlsconf/tlsconf.go
@@ -1,6 +1,5 @@
-// Package tlsconf builds TLS configurations from certificate files. The files
-// are read again when they change: new connections use the new ones, open ones
-// go on.
+// Package tlsconf builds TLS configurations from certificate files. Changed files are loaded
+// again: new connections use the new certificates, established ones are unaffected.
 package tlsconf
 
 import (
@@ -19,36 +18,36 @@
 type Files struct {
 	Cert string // certificate chain
 	Key  string // private key of the certificate
-	CA   string // certificates that the other side's are checked with
+	CA   string // CA certificates that verify the remote side's certificate
 }
 
-// recheckAfter bounds how long a changed file goes unnoticed.
-const recheckAfter = time.Second
+// recheckInterval is the minimum interval between checks of the files for changes.
+const recheckInterval = time.Second
 
-// ErrNoCertificate says that a CA file holds none.
+// ErrNoCertificate is returned for a CA file without a certificate.
 var ErrNoCertificate = errors.New("no certificate in the file")
 
-// Source holds what the files last held. A file that cannot be read while it is
-// being replaced leaves the last good content in use. Source is safe for
-// concurrent use.
+// Source holds the certificates last loaded from the files. If a file cannot be loaded, for
+// example while it is being replaced, the last valid certificates stay in use. Source is safe
+// for concurrent use.
 type Source struct {
 	files Files
 
-	mu      sync.Mutex
-	checked time.Time
-	stamps  [3]stamp
-	cert    *tls.Certificate
-	pool    *x509.CertPool
+	mu        sync.Mutex
+	checkedAt time.Time
+	stamps    [3]fileStamp
+	cert      *tls.Certificate
+	pool      *x509.CertPool
 }
 
-type stamp struct {
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// Open reads the files.
+// Open loads the files.
 func Open(files Files) (*Source, error) {
-	s := &Source{files: files, checked: time.Now(), stamps: stampsOf(files)}
+	s := &Source{files: files, checkedAt: time.Now(), stamps: statFiles(files)}
 	cert, pool, err := load(files)
 	if err != nil {
 		return nil, err
@@ -80,26 +79,26 @@
 	return cert, pool, nil
 }
 
-func stampsOf(files Files) [3]stamp {
-	var stamps [3]stamp
+func statFiles(files Files) [3]fileStamp {
+	var stamps [3]fileStamp
 	for n, name := range []string{files.Cert, files.Key, files.CA} {
 		if info, err := os.Stat(name); err == nil {
-			stamps[n] = stamp{info.ModTime(), info.Size()}
+			stamps[n] = fileStamp{info.ModTime(), info.Size()}
 		}
 	}
 	return stamps
 }
 
-// current returns what the files hold now.
+// current returns the current certificates. It loads the files again if they have changed.
 func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.checked) < recheckAfter {
+	if now.Sub(s.checkedAt) < recheckInterval {
 		return s.cert, s.pool
 	}
-	s.checked = now
-	stamps := stampsOf(s.files)
+	s.checkedAt = now
+	stamps := statFiles(s.files)
 	if stamps == s.stamps {
 		return s.cert, s.pool
 	}
@@ -109,8 +108,8 @@
 	return s.cert, s.pool
 }
 
-// Server returns the configuration of a listener. With a CA, the other side has
-// to present a certificate that the CA signed.
+// Server returns the configuration of a listener. With a CA, the client has to present a
+// certificate that the CA signed.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -125,8 +124,8 @@
 	}
 }
 
-// nextProtos keeps the protocols that net/http and grpc speak, since the
-// configuration for a client replaces the one that they set up.
+// nextProtos returns HTTP/2 if the client offers it. net/http and grpc set NextProtos on the
+// listener's configuration, but the configuration per client replaces that one.
 func nextProtos(hello *tls.ClientHelloInfo) []string {
 	for _, proto := range hello.SupportedProtos {
 		if proto == protoHTTP2 {
@@ -138,8 +137,8 @@
 
 const protoHTTP2 = "h2"
 
-// Client returns the configuration for one dial to a host. The other side's
-// certificate has to be signed by the CA and to name the host.
+// Client returns the configuration for one dial to a host. The server's certificate has to be
+// signed by the CA and to be valid for the host.
 func (s *Source) Client(host string) *tls.Config {
 	cert, pool := s.current()
 	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, ServerName: host}
