--- a/transport/claim/claim.go
+++ b/transport/claim/claim.go
@@ -71,8 +71,8 @@
 	revision int64
 }
 
-// Claim creates the claim, or returns why the request must not be dispatched. With an error,
-// this request has not been dispatched: the run state in the refusal describes what other
+// Claim creates the claim, or returns why the request must not be dispatched. When it returns a
+// refusal, this request has not been dispatched: the refusal's run state describes what other
 // requests with the same key may have done.
 func (c *Claimer) Claim(ctx context.Context, r Request) (*Handle, error) {
 	key, refused := once.ParseKey(r.Key, time.Now())
@@ -188,8 +188,8 @@
 	return err
 }
 
-// settle searches in the background for a claim whose write has an unknown outcome and
-// retracts it: its operation was never dispatched. Without this, a caller that was told "not
+// settle searches in the background for a claim whose creation or deletion has an unknown
+// outcome and deletes it: its operation has not run. Without this, a caller that was told "not
 // run" retries and finds its key taken by a request that never ran. A claim that appears
 // after settleTimeout stays; its key then counts as unknown, never as free.
 func (c *Claimer) settle(h *Handle) {
--- a/transport/peer/pool_test.go
+++ b/transport/peer/pool_test.go
@@ -17,11 +17,11 @@
 // is closed.
 type blockingConn struct {
 	net.Conn
-	stuck   <-chan struct{}
-	closing chan struct{} // closed at the first write deadline, which a transport sets to close
-	closed  chan struct{}
-	once    sync.Once
-	last    sync.Once
+	stuck       <-chan struct{}
+	closing     chan struct{} // closed at the first write deadline, which a transport sets to close
+	closed      chan struct{}
+	closingOnce sync.Once
+	closedOnce  sync.Once
 }
 
 func (c *blockingConn) Write(b []byte) (int, error) {
@@ -35,12 +35,12 @@
 }
 
 func (c *blockingConn) SetWriteDeadline(time.Time) error {
-	c.once.Do(func() { close(c.closing) })
+	c.closingOnce.Do(func() { close(c.closing) })
 	return nil
 }
 
 func (c *blockingConn) Close() error {
-	c.last.Do(func() { close(c.closed) })
+	c.closedOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
--- a/transport/peer/quota.go
+++ b/transport/peer/quota.go
@@ -77,7 +77,7 @@
 
 // DecodeGrants returns the grants of a lender's response, never nil for a valid one. It
 // returns nil if the lender has restarted since the call was planned, or if its loans are
-// valid for a shorter time than loans are here: the response then grants nothing.
+// valid for less than quota.LoanValidity: the response then grants nothing.
 func DecodeGrants(c *quota.Call, resp *peerpb.BorrowResponse) []quota.LoanGrant {
 	if resp.GetIncarnation() != c.Lender.Incarnation || resp.GetValidMs() < quota.LoanValidity.Milliseconds() {
 		return nil
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -115,7 +115,7 @@
 type streamSink struct {
 	stream grpc.ServerStreamingServer[peerpb.ForwardFrame]
 	work   *dispatch.Work
-	detach func() // tells the run that the connection broke
+	detach func() // detaches the run when the connection breaks
 	failed bool
 }
 
