--- a/transport/platform/nonce.go
+++ b/transport/platform/nonce.go
@@ -8,7 +8,7 @@
 )
 
 // newNonce returns a UUIDv7 that sorts after another one. Nonces order the writes of a key even
-// when the store was restored from a backup and assigns revisions again. The writers' clocks
+// when the store was restored and assigns revisions again. The writers' clocks
 // alone do not suffice: a writer with a slow clock would sort its write before the one that
 // it replaces.
 func newNonce(after string) (string, error) {
