--- a/transport/claim/claim.go
+++ b/transport/claim/claim.go
@@ -155,11 +155,11 @@
 		return refusal.New(refusal.CodeConflict, "another request under this key gave up just now").After(storeRetryAfter)
 	}
 	if err != nil {
-		return refusal.New(refusal.CodeConflict, "a claim for this key exists").WithRun(refusal.Unknown)
+		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRun(refusal.Unknown)
 	}
 	found, err := once.Decode(kv.Value)
 	if err != nil {
-		return refusal.New(refusal.CodeConflict, "a claim for this key exists").WithRun(refusal.Unknown)
+		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRun(refusal.Unknown)
 	}
 	return once.DuplicateRefusal(found, hash, c.outcomes.Run(found.Nonce))
 }
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -66,7 +66,7 @@
 // Follow implements peerpb.PeerServer.
 func (s *Server) Follow(req *peerpb.FollowRequest, stream grpc.ServerStreamingServer[peerpb.FollowUpdate]) error {
 	if s.Follower == nil {
-		return status.Error(codes.Unimplemented, "this instance does not serve store updates")
+		return status.Error(codes.Unimplemented, "this instance is not followed")
 	}
 	return s.Follower.Follow(req, stream)
 }
