--- a/transport/backendhttp/client.go
+++ b/transport/backendhttp/client.go
@@ -1,10 +1,10 @@
-// Package backendhttp sends HTTP/1.1 requests to backend servers and peers, and
-// tells for each whether it may have run.
+// Package backendhttp sends HTTP/1.1 requests to backend servers and peers, and reports
+// for each whether it may have run.
 //
-// net/http's own client is not used: it sends a request again by itself when a kept
-// connection turns out dead, follows redirects, asks for compressed answers, and
-// hands an answer that arrives unasked to the next request of the connection. Each
-// of these can run a request twice or answer a caller with another's answer.
+// The client of net/http is not used. It resends a request by itself when a reused
+// connection turns out to be dead, follows redirects, asks for compressed responses, and
+// assigns a response that arrives unsolicited to the next request on the connection. Each
+// of these can run a request twice or give a caller the response to another request.
 package backendhttp
 
 import (
@@ -20,47 +20,47 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors of Do and of reading an answer. Every other error leaves open whether the
-// request ran.
+// Errors of Do and of reading a response. After any other error it is unknown whether
+// the request ran.
 var (
-	// ErrRefused means that nothing listens at the address; nothing was sent.
+	// ErrRefused means that nothing listens at the address, so nothing was sent.
 	ErrRefused = errors.New("connection refused")
-	// ErrNotSent means that no byte of the request left.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrIdleTimeout means that the server said nothing for too long.
-	ErrIdleTimeout = errors.New("the server is silent")
-	// ErrMalformed means that what arrived is no answer to the request.
-	ErrMalformed = errors.New("malformed answer")
+	// ErrIdleTimeout means that the server sent nothing within the idle timeout.
+	ErrIdleTimeout = errors.New("idle timeout: the server sent nothing")
+	// ErrMalformed means that the data received is not a response to the request.
+	ErrMalformed = errors.New("malformed response")
 )
 
-// Settings of a Client.
+// Settings configures a Client.
 type Settings struct {
 	DialTimeout time.Duration
-	// UserTimeout is how long sent bytes may stay unacknowledged. A link that is cut
-	// never resets a connection; without the limit a request hangs until the
-	// caller's deadline.
+	// UserTimeout is how long sent data may stay unacknowledged (TCP_USER_TIMEOUT). A link
+	// that is cut never resets a connection; without this limit a request hangs until its
+	// deadline.
 	UserTimeout time.Duration
-	MaxIdle     int // kept connections for each address
+	MaxIdle     int // idle connections kept for each address
 }
 
 const (
-	// defaultKeep is how long an idle connection is kept when the server does not
-	// say: the shortest idle timeout that is usual.
-	defaultKeep = 4 * time.Second
-	// keepMargin is how long before its timeout a connection is given up, so that a
-	// request does not cross the server's close.
-	keepMargin = 600 * time.Millisecond
-	// freshFor is how recently a connection must have been used for a request that
-	// may not be repeated. A server may drop an idle connection without notice, and
-	// what is sent on it then is lost with its outcome unknown.
-	freshFor = time.Second
+	// defaultIdleLimit is how long an idle connection is kept if the server does not
+	// specify a limit: the shortest idle timeout in common use.
+	defaultIdleLimit = 4 * time.Second
+	// idleLimitMargin is how long before the server's timeout an idle connection is
+	// closed, so that a request does not race with the server's close.
+	idleLimitMargin = 600 * time.Millisecond
+	// maxFreshIdle is how recently a connection must have been used to carry a request
+	// that may not be repeated. A server may drop an idle connection without notice, and a
+	// request sent on it is lost with its outcome unknown.
+	maxFreshIdle = time.Second
 
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// Client keeps connections by address. It is safe for concurrent use.
+// Client pools connections by address. It is safe for concurrent use.
 type Client struct {
 	settings Settings
 	dialer   net.Dialer
@@ -69,7 +69,7 @@
 	idle map[string][]*conn // the most recently used last
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New(settings Settings) *Client {
 	c := &Client{settings: settings, idle: make(map[string][]*conn)}
 	c.dialer = net.Dialer{
@@ -88,65 +88,65 @@
 	return c
 }
 
-// Options of one request.
+// Options configures one request.
 type Options struct {
-	FreshConn     bool                      // only a new or just used connection: the request may not be repeated
-	MatchResponse func(*http.Response) bool // tells whether an answer is this request's
-	// IdleTimeout is how long the head of the answer is waited for before GiveUp is asked
-	// whether to close the connection; 0 for as long as the context lasts.
+	FreshConn     bool                      // use only a new or recently used connection, because the request may not be repeated
+	MatchResponse func(*http.Response) bool // reports whether a response belongs to this request
+	// IdleTimeout is how long to wait for the head of the response before ShouldAbort is
+	// asked whether to close the connection; 0 to wait until the context ends.
 	IdleTimeout time.Duration
 	ShouldAbort func() bool
 }
 
-// Response is an answer whose body is still to be read. Close has to be called.
+// Response is a response whose body has not been read yet. The caller has to call Close.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, -1 when it is not known beforehand.
+	// Length is the length of the body, or -1 if unknown.
 	Length int64
 
-	client  *Client
-	address string
-	conn    *conn
-	resp    *http.Response
-	writing <-chan error
-	stop    func() bool
-	whole   bool
+	client      *Client
+	address     string
+	conn        *conn
+	resp        *http.Response
+	bodyWritten <-chan error
+	stop        func() bool
+	complete    bool
 
-	patience time.Duration
-	silence  *time.Timer
-	hearing  sync.Mutex
-	heard    int  // times that something came
-	silent   bool // the connection was closed for silence
-	Reused   bool // the connection had carried a request before
+	idleTimeout time.Duration
+	idleTimer   *time.Timer
+	mu          sync.Mutex
+	activity    int  // number of times that data arrived
+	timedOut    bool // the connection was closed by the idle timeout
+	Reused      bool // the connection had carried a request before
 }
 
-// Do sends a request and reads the head of the answer. ctx covers the answer's body
-// too: when it ends the connection is closed.
+// Do sends a request and reads the head of the response. ctx also covers the body of the
+// response: the connection is closed when ctx ends.
 func (c *Client) Do(ctx context.Context, address string, r *Request, o Options) (*Response, error) {
 	if ctx.Err() != nil {
 		return nil, errors.Mark(ctx.Err(), ErrNotSent)
 	}
 	for {
-		cn, err := c.take(ctx, address, o.FreshConn)
+		cn, err := c.acquire(ctx, address, o.FreshConn)
 		if err != nil {
 			return nil, err
 		}
-		a, err := c.on(ctx, cn, address, r, o)
+		a, err := c.roundTrip(ctx, cn, address, r, o)
 		if err != nil && cn.reused && cn.written == 0 && ctx.Err() == nil {
-			continue // closed while it was idle: nothing left
+			continue // closed while it was idle: nothing was sent
 		}
 		return a, err
 	}
 }
 
-// on runs a request on a connection.
-func (c *Client) on(ctx context.Context, cn *conn, address string, r *Request, o Options) (*Response, error) {
+// roundTrip runs a request on a connection.
+func (c *Client) roundTrip(ctx context.Context, cn *conn, address string, r *Request, o Options) (*Response, error) {
 	a := &Response{client: c, address: address, conn: cn, Reused: cn.reused}
 	cn.written = 0
-	a.stop = cn.watch(ctx)
+	a.stop = cn.closeOnCancel(ctx)
 	var err error
-	if a.writing, err = cn.send(r); err != nil {
+	if a.bodyWritten, err = cn.send(r); err != nil {
 		a.discard()
 		if cn.written == 0 {
 			return nil, errors.Mark(err, ErrNotSent)
@@ -156,28 +156,28 @@
 	if o.IdleTimeout > 0 {
 		a.SetIdleTimeout(o.IdleTimeout, o.ShouldAbort)
 	}
-	a.resp, err = cn.answer(r.Method, o.MatchResponse)
+	a.resp, err = cn.readResponse(r.Method, o.MatchResponse)
 	if err != nil {
 		a.discard()
-		return nil, a.ended(errors.Wrap(err, "answer"))
+		return nil, a.markIdleTimeout(errors.Wrap(err, "read response"))
 	}
 	if !a.ResetIdleTimer() {
 		a.discard()
-		return nil, errors.Mark(errors.New("answer: came as its connection was closed"), ErrIdleTimeout)
+		return nil, errors.Mark(errors.New("response arrived while its connection was being closed"), ErrIdleTimeout)
 	}
 	a.Status, a.Header, a.Length = a.resp.StatusCode, a.resp.Header, a.resp.ContentLength
 	return a, nil
 }
 
-func (c *Client) take(ctx context.Context, address string, fresh bool) (*conn, error) {
+func (c *Client) acquire(ctx context.Context, address string, fresh bool) (*conn, error) {
 	for {
 		cn := c.pop(address)
 		if cn == nil {
 			return c.dial(ctx, address)
 		}
-		idle := time.Since(cn.idle)
-		if idle >= cn.keep || fresh && idle >= freshFor || !cn.clean() {
-			_ = cn.Close() // of no more use
+		idle := time.Since(cn.idleSince)
+		if idle >= cn.idleLimit || fresh && idle >= maxFreshIdle || !cn.clean() {
+			_ = cn.Close() // expired, or not reusable
 			continue
 		}
 		cn.reused = true
@@ -209,26 +209,26 @@
 }
 
 func (c *Client) put(address string, cn *conn) {
-	cn.idle = time.Now()
+	cn.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
 	if len(list) >= c.settings.MaxIdle {
-		_ = list[0].Close() // the one that was idle longest
+		_ = list[0].Close() // the longest idle
 		list = list[1:]
 	}
 	c.idle[address] = append(list, cn)
 }
 
-// Sweep closes connections that were idle too long.
+// Sweep closes connections that have been idle too long.
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, list := range c.idle {
 		kept := list[:0]
 		for _, cn := range list {
-			if time.Since(cn.idle) >= cn.keep {
-				_ = cn.Close() // nothing is under way on it
+			if time.Since(cn.idleSince) >= cn.idleLimit {
+				_ = cn.Close() // no request is in flight on it
 				continue
 			}
 			kept = append(kept, cn)
@@ -254,15 +254,15 @@
 	c.idle = make(map[string][]*conn)
 }
 
-// Read reads the body. It returns io.EOF only when the body was whole: one that is
-// delimited by the connection's end is whole unless the connection was reset.
+// Read reads the body. It returns io.EOF only if the body is complete. A body delimited by
+// the end of the connection is complete unless the connection was reset.
 func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.resp.Body.Read(b)
 	switch {
-	case err == io.EOF: // never wrapped here; io.ErrUnexpectedEOF is another error
-		a.whole = true
+	case err == io.EOF: // not wrapped here; io.ErrUnexpectedEOF is a different error
+		a.complete = true
 	case err != nil:
-		return n, a.ended(err)
+		return n, a.markIdleTimeout(err)
 	}
 	if n > 0 {
 		a.ResetIdleTimer()
@@ -270,91 +270,93 @@
 	return n, err
 }
 
-// SetIdleTimeout asks giveUp whether to close the connection when nothing was heard for a
-// time. Reads then fail with ErrSilent. It is asked once; when it says no, the answer is
-// waited for as long as the context lasts.
+// SetIdleTimeout sets the idle timeout of the response. When no data has arrived for d,
+// shouldAbort is asked, once, whether to close the connection. If it returns true, reads
+// fail with ErrIdleTimeout; otherwise the response is waited for until the context ends.
 func (a *Response) SetIdleTimeout(d time.Duration, giveUp func() bool) {
-	if a.silence != nil {
-		a.silence.Stop()
+	if a.idleTimer != nil {
+		a.idleTimer.Stop()
 	}
-	a.patience = d
-	a.silence = time.AfterFunc(d, func() {
-		before := a.timesHeard()
+	a.idleTimeout = d
+	a.idleTimer = time.AfterFunc(d, func() {
+		before := a.activityCount()
 		if giveUp() {
-			a.cutUnlessHeard(before)
+			a.closeUnlessActive(before)
 		}
 	})
 }
 
-func (a *Response) timesHeard() int {
-	a.hearing.Lock()
-	defer a.hearing.Unlock()
-	return a.heard
+func (a *Response) activityCount() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.activity
 }
 
-// cutUnlessHeard closes the connection, unless something came while giveUp was asked: the
-// caller may have the beginning of the answer by then.
-func (a *Response) cutUnlessHeard(before int) {
-	a.hearing.Lock()
-	defer a.hearing.Unlock()
-	if a.heard != before {
+// closeUnlessActive closes the connection unless data arrived while shouldAbort was
+// running, because the caller may have received the beginning of the response by then.
+func (a *Response) closeUnlessActive(before int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.activity != before {
 		return
 	}
-	a.silent = true
-	_ = a.conn.Close() // ends the read that waits
+	a.timedOut = true
+	_ = a.conn.Close() // unblocks the pending read
 }
 
-// ResetIdleTimer begins the time of CutAfter anew. It returns false when the connection has been
-// closed for silence.
+// ResetIdleTimer restarts the idle timeout. It returns false if the connection has been
+// closed by the idle timeout.
 func (a *Response) ResetIdleTimer() bool {
-	a.hearing.Lock()
-	defer a.hearing.Unlock()
-	a.heard++
-	if a.silence != nil && a.silence.Stop() {
-		a.silence.Reset(a.patience)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.activity++
+	if a.idleTimer != nil && a.idleTimer.Stop() {
+		a.idleTimer.Reset(a.idleTimeout)
 	}
-	return !a.silent
+	return !a.timedOut
 }
 
-// ended marks the error of a read after the connection was closed for silence.
-func (a *Response) ended(err error) error {
-	if a.silence != nil {
-		a.silence.Stop()
+// markIdleTimeout marks the error of a read with ErrIdleTimeout if the idle timeout closed
+// the connection.
+func (a *Response) markIdleTimeout(err error) error {
+	if a.idleTimer != nil {
+		a.idleTimer.Stop()
 	}
-	a.hearing.Lock()
-	defer a.hearing.Unlock()
-	if a.silent {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.timedOut {
 		return errors.Mark(err, ErrIdleTimeout)
 	}
 	return err
 }
 
-// Close ends the answer. The connection is kept when the body was read to its end
-// and nothing else arrived; otherwise it is closed, and the server drops what is
-// still running.
+// Close ends the response. The connection is kept for reuse if the body was read to its
+// end and no other data arrived. Otherwise it is closed, and the server drops the request
+// if it is still running.
 func (a *Response) Close() {
-	if a.silence != nil {
-		a.silence.Stop()
+	if a.idleTimer != nil {
+		a.idleTimer.Stop()
 	}
-	if a.stop() && a.whole && a.written() {
-		if keep := keepFor(a.resp); keep > 0 && a.conn.clean() {
-			a.conn.keep = keep
-			_ = a.conn.SetDeadline(time.Time{}) // an error shows with the next use
+	if a.stop() && a.complete && a.requestWritten() {
+		if keep := responseIdleLimit(a.resp); keep > 0 && a.conn.clean() {
+			a.conn.idleLimit = keep
+			_ = a.conn.SetDeadline(time.Time{}) // an error shows on the next use
 			a.client.put(a.address, a.conn)
 			return
 		}
 	}
-	_ = a.conn.Close() // nothing more is wanted from it
+	_ = a.conn.Close() // not reusable
 }
 
-// written tells whether the whole request left. A connection on which a rest of the
-// body is due would take the next request for it.
-func (a *Response) written() bool {
-	if a.writing == nil {
+// requestWritten reports whether the complete request was written. On a connection that
+// still owes part of a body, the server would take the next request for the rest of that
+// body.
+func (a *Response) requestWritten() bool {
+	if a.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-a.writing:
+	case err := <-a.bodyWritten:
 		return err == nil
 	default:
 		return false
@@ -366,13 +368,14 @@
 	_ = a.conn.Close() // it failed
 }
 
-// ConnectionRefused tells whether nothing listens at an address.
+// ConnectionRefused reports whether nothing listens at an address. A connection that
+// succeeds is kept for reuse.
 func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
 	cn, err := c.dial(ctx, address)
 	if err != nil {
 		return errors.Is(err, ErrRefused)
 	}
-	cn.keep = defaultKeep
+	cn.idleLimit = defaultIdleLimit
 	c.put(address, cn)
 	return false
 }
--- a/transport/backendhttp/client_test.go
+++ b/transport/backendhttp/client_test.go
@@ -17,22 +17,22 @@
 
 const testTimeout = 10 * time.Second
 
-// server answers connections by a script: the n-th connection by the n-th function,
+// scriptedServer handles connections by scripts: the n-th connection by the n-th function,
 // further ones by the last.
-type server struct {
+type scriptedServer struct {
 	address  string
 	arrivals atomic.Int32 // requests read
 	accepted atomic.Int32
 }
 
-func serve(t *testing.T, scripts ...func(c net.Conn, next func() *http.Request)) *server {
+func serve(t *testing.T, scripts ...func(c net.Conn, next func() *http.Request)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &server{address: l.Addr().String()}
+	s := &scriptedServer{address: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -65,7 +65,7 @@
 	return &Request{Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {id}}}
 }
 
-func belongs(id string) Options {
+func matchID(id string) Options {
 	return Options{MatchResponse: func(r *http.Response) bool { return r.Header.Get("Id") == id }}
 }
 
@@ -73,7 +73,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// ask returns the body of an answer and how reading it ended; nil for whole.
+// ask returns the body of a response and the error of reading it; nil if complete.
 func ask(t *testing.T, c *Client, address string, r *Request, o Options) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -87,8 +87,8 @@
 	return string(body), err
 }
 
-// A server sends a second answer after the first. The caller of the next request on
-// the kept connection must not get it: the surplus one is told by its id and skipped,
+// A server sends a second response to a request. Guards against giving it to the caller of
+// the next request on the reused connection: it is recognised by its id and skipped,
 // whether it arrives before the next request or after it.
 func TestSurplusAnswerGoesToNobody(t *testing.T) {
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
@@ -99,7 +99,7 @@
 			}
 			if id := r.Header.Get("Id"); id == "1" {
 				_, _ = io.WriteString(c, answer("1", "one"))
-			} else { // the surplus answer of the first request comes only now
+			} else { // the surplus response to the first request arrives now
 				_, _ = io.WriteString(c, answer("1", "surplus")+answer(id, "body of "+id))
 			}
 		}
@@ -107,14 +107,14 @@
 	c := client()
 	for _, id := range []string{"1", "2", "3"} {
 		want := map[string]string{"1": "one", "2": "body of 2", "3": "body of 3"}[id]
-		if body, err := ask(t, c, s.address, get(id), belongs(id)); err != nil || body != want {
+		if body, err := ask(t, c, s.address, get(id), matchID(id)); err != nil || body != want {
 			t.Errorf("request %s: %q, %v", id, body, err)
 		}
 	}
 }
 
-// A connection on which bytes wait after a whole answer is not used again: they
-// belong to no request.
+// A connection with unread bytes after a complete response is not reused: they belong to
+// no request.
 func TestConnectionWithBytesLeftIsDropped(t *testing.T) {
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
 		for r := next(); r != nil; r = next() {
@@ -123,7 +123,7 @@
 	})
 	c := client()
 	for _, id := range []string{"1", "2"} {
-		if body, err := ask(t, c, s.address, get(id), belongs(id)); err != nil || body != "x" {
+		if body, err := ask(t, c, s.address, get(id), matchID(id)); err != nil || body != "x" {
 			t.Errorf("request %s: %q, %v", id, body, err)
 		}
 	}
@@ -132,9 +132,9 @@
 	}
 }
 
-// Answers that break off must not look whole: shorter than announced, chunked without
-// the last chunk, or delimited by a connection that is reset. One that is delimited by
-// an orderly close is whole.
+// Incomplete responses must not look complete: shorter than announced, chunked without the
+// last chunk, or delimited by a connection that is reset. One delimited by an orderly
+// close is complete.
 func TestHalfAnswersAreNotWhole(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: 1\r\n"
 	for name, tc := range map[string]struct {
@@ -157,7 +157,7 @@
 					_, _ = c.Read(make([]byte, 1))
 				}
 			})
-			_, err := ask(t, client(), s.address, get("1"), belongs("1"))
+			_, err := ask(t, client(), s.address, get("1"), matchID("1"))
 			if (err == nil) != tc.whole {
 				t.Errorf("ended with %v, whole: %t", err, tc.whole)
 			}
@@ -165,8 +165,8 @@
 	}
 }
 
-// A server reads a request on a kept connection and dies. The request may have run:
-// it is not sent again, and the error does not say that it was not sent.
+// A server reads a request on a reused connection and fails. The request may have run: it
+// is not resent, and the error does not say that it was not sent.
 func TestRequestIsNotSentAgain(t *testing.T) {
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
 		next()
@@ -174,10 +174,10 @@
 		next()
 	})
 	c := client()
-	if _, err := ask(t, c, s.address, get("1"), belongs("1")); err != nil {
+	if _, err := ask(t, c, s.address, get("1"), matchID("1")); err != nil {
 		t.Fatal(err)
 	}
-	_, err := ask(t, c, s.address, get("2"), belongs("2"))
+	_, err := ask(t, c, s.address, get("2"), matchID("2"))
 	if err == nil || errors.Is(err, ErrNotSent) {
 		t.Errorf("ended with %v", err)
 	}
@@ -186,8 +186,8 @@
 	}
 }
 
-// A connection that the server closed while it was idle costs no request: nothing was
-// sent on it, and a new one is made.
+// A connection that the server closed while it was idle loses no request: nothing was sent
+// on it, and a new one is opened.
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	closed := make(chan struct{})
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
@@ -200,24 +200,23 @@
 		_, _ = io.WriteString(c, answer("2", "y"))
 	})
 	c := client()
-	if _, err := ask(t, c, s.address, get("1"), belongs("1")); err != nil {
+	if _, err := ask(t, c, s.address, get("1"), matchID("1")); err != nil {
 		t.Fatal(err)
 	}
 	<-closed
-	if body, err := ask(t, c, s.address, get("2"), belongs("2")); err != nil || body != "y" {
+	if body, err := ask(t, c, s.address, get("2"), matchID("2")); err != nil || body != "y" {
 		t.Errorf("%q, %v", body, err)
 	}
 }
 
-// A redirect is the server's answer and is handed on; the request is not sent to
-// where it points.
+// A redirect is passed on as the response; the request is not sent to its location.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
 		for next() != nil {
 			_, _ = io.WriteString(c, "HTTP/1.1 302 Found\r\nId: 1\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	a, err := client().Do(t.Context(), s.address, get("1"), belongs("1"))
+	a, err := client().Do(t.Context(), s.address, get("1"), matchID("1"))
 	if err != nil || a.Status != http.StatusFound {
 		t.Fatalf("%+v, %v", a, err)
 	}
@@ -227,9 +226,9 @@
 	}
 }
 
-// A server answers before it has read a long body and keeps the connection. The rest
-// of the body is still due there, so the next request goes over another one: its head
-// would otherwise be read as that rest.
+// A server responds before it has read a long body and keeps the connection open. The
+// server still expects the rest of the body, so the next request uses another connection:
+// its head would otherwise be read as that rest.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
 		for r := next(); r != nil; r = next() {
@@ -243,10 +242,10 @@
 	})
 	c := client()
 	long := &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{"Id": {"1"}}, Body: []byte(strings.Repeat("b", 64<<20))}
-	if body, err := ask(t, c, s.address, long, belongs("1")); err != nil || body != "early" {
+	if body, err := ask(t, c, s.address, long, matchID("1")); err != nil || body != "early" {
 		t.Fatalf("%q, %v", body, err)
 	}
-	if body, err := ask(t, c, s.address, get("2"), belongs("2")); err != nil || body != "early" {
+	if body, err := ask(t, c, s.address, get("2"), matchID("2")); err != nil || body != "early" {
 		t.Errorf("%q, %v", body, err)
 	}
 	if n := s.accepted.Load(); n != 2 {
@@ -254,7 +253,8 @@
 	}
 }
 
-// Nothing listens: the request was not sent, and the caller may try another server.
+// The connection is refused: the request was not sent, and the caller may try another
+// server.
 func TestRefusedConnectionSendsNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -262,40 +262,40 @@
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	_, err = ask(t, client(), address, get("1"), belongs("1"))
+	_, err = ask(t, client(), address, get("1"), matchID("1"))
 	if !errors.Is(err, ErrRefused) || !errors.Is(err, ErrNotSent) {
 		t.Errorf("ended with %v", err)
 	}
 	if !client().ConnectionRefused(t.Context(), address) {
-		t.Error("a question whether anything listens says it does")
+		t.Error("ConnectionRefused returns false for a closed port")
 	}
 }
 
-// The caller gives up. The server sees the connection end and can drop the work; a
-// silent server is given up after the time that the options set.
-func TestGivingUpClosesTheConnection(t *testing.T) {
+// The caller cancels: the server sees the connection close and can drop the work. An idle
+// server is abandoned after the idle timeout of the options.
+func TestCancelAndIdleTimeoutCloseTheConnection(t *testing.T) {
 	ended := make(chan struct{}, 2)
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
 		next()
-		_, _ = c.Read(make([]byte, 1)) // until the other side closes
+		_, _ = c.Read(make([]byte, 1)) // until the client closes
 		ended <- struct{}{}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	if _, err := client().Do(ctx, s.address, get("1"), belongs("1")); err == nil || errors.Is(err, ErrNotSent) {
+	if _, err := client().Do(ctx, s.address, get("1"), matchID("1")); err == nil || errors.Is(err, ErrNotSent) {
 		t.Errorf("a cancelled request ended with %v", err)
 	}
 	<-ended
-	o := belongs("2")
+	o := matchID("2")
 	o.IdleTimeout, o.ShouldAbort = 50*time.Millisecond, func() bool { return true }
 	if _, err := ask(t, client(), s.address, get("2"), o); !errors.Is(err, ErrIdleTimeout) {
-		t.Errorf("a silent server: %v", err)
+		t.Errorf("an idle server: %v", err)
 	}
 	<-ended
 }
 
-// A server is silent for longer than usual and there is nowhere else to go: the answer
-// is waited for, before its head and within its body.
+// A server is idle for longer than the idle timeout and there is no alternative: the
+// response is waited for, before its head and within its body.
 func TestSilenceIsBorneWithoutAnother(t *testing.T) {
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
 		next()
@@ -304,16 +304,16 @@
 		time.Sleep(60 * time.Millisecond)
 		_, _ = io.WriteString(c, "more")
 	})
-	o := belongs("1")
+	o := matchID("1")
 	o.IdleTimeout, o.ShouldAbort = 20*time.Millisecond, func() bool { return false }
 	if body, err := ask(t, client(), s.address, get("1"), o); err != nil || body != "halfmore" {
 		t.Errorf("%q, %v", body, err)
 	}
 }
 
-// A request that may not be repeated goes over a connection that was used just now or
-// over a new one: a server may drop an idle one without notice, and what is sent on it
-// then has an unknown outcome.
+// A request that may not be repeated uses a recently used connection or a new one: a
+// server may drop an idle one without notice, and a request sent on it then has an unknown
+// outcome.
 func TestFreshConnections(t *testing.T) {
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
 		for r := next(); r != nil; r = next() {
@@ -321,7 +321,7 @@
 		}
 	})
 	c := client()
-	fresh := belongs("1")
+	fresh := matchID("1")
 	fresh.FreshConn = true
 	for _, want := range []int32{1, 1} {
 		if _, err := ask(t, c, s.address, get("1"), fresh); err != nil {
@@ -333,7 +333,7 @@
 	}
 	c.mu.Lock()
 	for _, kept := range c.idle {
-		kept[0].idle = kept[0].idle.Add(-freshFor)
+		kept[0].idleSince = kept[0].idleSince.Add(-maxFreshIdle)
 	}
 	c.mu.Unlock()
 	if _, err := ask(t, c, s.address, get("1"), fresh); err != nil || s.accepted.Load() != 2 {
@@ -341,7 +341,8 @@
 	}
 }
 
-// Guards against an answer that is cut because its server was to be given up just before it began.
+// Guards against cutting off a response that starts while its server is about to be
+// abandoned.
 func TestAnswerThatBeginsWhileItsServerIsGivenUpGoesOn(t *testing.T) {
 	asked, begun := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(c net.Conn, next func() *http.Request) {
@@ -355,7 +356,7 @@
 	c := client()
 	defer c.Close()
 	decided := make(chan struct{})
-	o := belongs("1")
+	o := matchID("1")
 	o.IdleTimeout, o.ShouldAbort = time.Millisecond, func() bool {
 		close(asked)
 		<-begun
--- a/transport/backendhttp/conn.go
+++ b/transport/backendhttp/conn.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is what is sent. The header goes out as it is, with Host and
+// Request is a request to be sent. The header is sent unmodified, with Host and
 // Content-Length added.
 type Request struct {
 	Method string
@@ -27,49 +27,50 @@
 // conn is one connection. It carries one request at a time.
 type conn struct {
 	net.Conn
-	raw     syscall.RawConn
-	read    *bufio.Reader
-	idle    time.Time     // since when nothing was under way
-	keep    time.Duration // how long it may be idle
-	reused  bool
-	written int // bytes of the request that were handed to the kernel
+	raw       syscall.RawConn
+	reader    *bufio.Reader
+	idleSince time.Time     // when the last request ended
+	idleLimit time.Duration // how long it may be idle
+	reused    bool
+	written   int // bytes of the request that were passed to the kernel
 }
 
 const (
 	readBuffer = 4 << 10
-	// smallBody is the size up to which a body is written before the answer is read.
-	// A server may answer before it has read a longer one, and stop reading.
+	// smallBody is the size up to which a body is written before the response is read. A
+	// server may respond before it has read a larger one, and stop reading.
 	smallBody = 8 << 10
-	// maxSurplus bounds the answers to earlier requests that are skipped while an
-	// answer is waited for.
-	maxSurplus = 3
+	// maxSkippedResponses bounds the responses to earlier requests that are skipped while
+	// waiting for a response.
+	maxSkippedResponses = 3
 )
 
 func newConn(c net.Conn) *conn {
-	out := &conn{Conn: c, read: bufio.NewReaderSize(c, readBuffer)}
+	out := &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}
 	if s, ok := c.(syscall.Conn); ok {
 		raw, err := s.SyscallConn()
-		if err == nil { // without it the connection is not used twice
+		if err == nil { // without it the connection is not reused
 			out.raw = raw
 		}
 	}
 	return out
 }
 
-// clean tells whether nothing has arrived since the last answer ended. Bytes that
-// wait belong to no request, and a waiting end means that the server has closed.
+// clean reports whether no data has arrived since the last response ended. Pending data
+// belongs to no request, and a pending EOF means that the server has closed the
+// connection.
 func (c *conn) clean() bool {
-	if c.read.Buffered() > 0 || c.raw == nil {
+	if c.reader.Buffered() > 0 || c.raw == nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err := c.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 func (c *conn) Write(b []byte) (int, error) {
@@ -78,7 +79,7 @@
 	return n, err
 }
 
-// head returns the bytes before the body.
+// head returns the request line and the header fields.
 func (r *Request) head() []byte {
 	b := make([]byte, 0, 1024)
 	b = append(b, r.Method...)
@@ -103,8 +104,8 @@
 	return append(b, "\r\n"...)
 }
 
-// send writes the request. wait returns the error of a body that is still being
-// written while the answer is read.
+// send writes the request. wait returns the error of a body that is still being written
+// while the response is read.
 func (c *conn) send(r *Request) (wait <-chan error, err error) {
 	head := r.head()
 	if len(r.Body) <= smallBody {
@@ -122,18 +123,18 @@
 	return done, nil
 }
 
-// answer reads the head of the answer that belongs to the request. Late answers to
-// earlier requests of the connection are skipped.
-func (c *conn) answer(method string, belongs func(*http.Response) bool) (*http.Response, error) {
-	for range maxSurplus {
-		resp, err := http.ReadResponse(c.read, &http.Request{Method: method})
+// readResponse reads the head of the response that belongs to the request. It skips late
+// responses to earlier requests on the connection.
+func (c *conn) readResponse(method string, match func(*http.Response) bool) (*http.Response, error) {
+	for range maxSkippedResponses {
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue // informational
 		}
-		if belongs(resp) {
+		if match(resp) {
 			return resp, nil
 		}
 		if !c.reused || resp.Close {
@@ -143,30 +144,30 @@
 			return nil, err
 		}
 	}
-	return nil, errors.Wrap(ErrMalformed, "the answer belongs to another request")
+	return nil, errors.Wrap(ErrMalformed, "the response belongs to another request")
 }
 
-// keepFor returns how long the connection may be idle after an answer, 0 when it
-// may not be used again.
-func keepFor(resp *http.Response) time.Duration {
+// responseIdleLimit returns how long the connection may be idle after a response, or 0 if
+// it may not be reused.
+func responseIdleLimit(resp *http.Response) time.Duration {
 	if resp.Close {
 		return 0
 	}
-	keep := defaultKeep
+	limit := defaultIdleLimit
 	for _, part := range strings.Split(resp.Header.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
 			continue
 		}
 		if n, err := strconv.Atoi(strings.TrimSpace(value)); err == nil && n >= 0 {
-			keep = min(keep, time.Duration(n)*time.Second-keepMargin)
+			limit = min(limit, time.Duration(n)*time.Second-idleLimitMargin)
 		}
 	}
-	return max(keep, 0)
+	return max(limit, 0)
 }
 
-// watch closes the connection when ctx ends, which ends every read and write. The
-// server sees the close and drops the request.
-func (c *conn) watch(ctx context.Context) (stop func() bool) {
+// closeOnCancel closes the connection when ctx ends, which ends every read and write. The
+// server detects the close and drops the request.
+func (c *conn) closeOnCancel(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = c.Close() })
 }
