--- a/transport/httpidle/httpidle.go
+++ b/transport/httpidle/httpidle.go
@@ -1,6 +1,7 @@
-// Package httpidle ends HTTP calls that make no progress, and lets those go on whose
-// answers arrive. A limit on the whole of a call has to guess how large an answer is and
-// how wide the link: one that takes longer is begun anew for ever, and fills the link.
+// Package httpidle ends HTTP calls that make no progress, and lets calls continue whose
+// responses keep arriving. A timeout on a whole call has to assume the size of the
+// response and the bandwidth of the link: a call that takes longer is restarted forever
+// and saturates the link.
 package httpidle
 
 import (
@@ -12,61 +13,62 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrIdleTimeout is the error of a call from which nothing came for too long.
-var ErrIdleTimeout = errors.New("no byte of the answer in time")
+// ErrIdleTimeout is the error of a call that received no data within its idle timeout.
+var ErrIdleTimeout = errors.New("idle timeout: no response bytes received")
 
-// MaxDuration bounds a call whose answer never ends.
+// MaxDuration bounds a call whose response never ends.
 const MaxDuration = 30 * time.Second
 
-type limitsKey struct{}
+type timeoutsKey struct{}
 
-type limits struct{ first, next time.Duration }
+type timeouts struct{ first, next time.Duration }
 
-// WithTimeouts returns the context of a call that may be silent until its answer begins, first, and
-// between two pieces of it, next. It holds for calls that a Transport makes.
+// WithTimeouts returns a context for a call that may be idle for first until its response
+// begins, and for next between two reads of the response body. It applies to calls made
+// through a Transport.
 func WithTimeouts(ctx context.Context, first, next time.Duration) context.Context {
-	return context.WithValue(ctx, limitsKey{}, limits{first: first, next: next})
+	return context.WithValue(ctx, timeoutsKey{}, timeouts{first: first, next: next})
 }
 
-// Transport keeps to the limits of With.
+// Transport enforces the timeouts set by WithTimeouts.
 type Transport struct{ Next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
 func (t Transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	limit, ok := req.Context().Value(limitsKey{}).(limits)
+	limit, ok := req.Context().Value(timeoutsKey{}).(timeouts)
 	if !ok {
 		return t.Next.RoundTrip(req)
 	}
-	ctx, end := context.WithTimeout(req.Context(), limit.first+MaxDuration)
-	ctx, giveUp := context.WithCancelCause(ctx)
-	silence := time.AfterFunc(limit.first, func() { giveUp(ErrIdleTimeout) })
+	ctx, cancel := context.WithTimeout(req.Context(), limit.first+MaxDuration)
+	ctx, abort := context.WithCancelCause(ctx)
+	idleTimer := time.AfterFunc(limit.first, func() { abort(ErrIdleTimeout) })
 	stop := func() {
-		silence.Stop()
-		end()
+		idleTimer.Stop()
+		cancel()
 	}
 	resp, err := t.Next.RoundTrip(req.WithContext(ctx))
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	silence.Reset(limit.next)
-	resp.Body = &body{ReadCloser: resp.Body, progress: func() { silence.Reset(limit.next) }, stop: stop}
+	idleTimer.Reset(limit.next)
+	resp.Body = &timedBody{ReadCloser: resp.Body, progress: func() { idleTimer.Reset(limit.next) }, stop: stop}
 	return resp, nil
 }
 
-// pieceBytes is what is read at once. A read of an answer in chunks goes on until its buffer
-// is full, and a large one would look like silence.
-const pieceBytes = 4 << 10
+// maxReadBytes bounds a single read. A read of a chunked response returns only when its
+// buffer is full, so a large buffer would make a slow response look idle.
+const maxReadBytes = 4 << 10
 
-// body tells of each read that brings something.
-type body struct {
+// timedBody calls progress after each read that returns data.
+type timedBody struct {
 	io.ReadCloser
 	progress, stop func()
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.ReadCloser.Read(p[:min(len(p), pieceBytes)])
+func (b *timedBody) Read(p []byte) (int, error) {
+	n, err := b.ReadCloser.Read(p[:min(len(p), maxReadBytes)])
 	if n > 0 {
 		b.progress()
 	}
@@ -74,7 +76,7 @@
 }
 
 // Close implements io.Closer.
-func (b *body) Close() error {
+func (b *timedBody) Close() error {
 	b.stop()
 	return b.ReadCloser.Close()
 }
--- a/transport/httpidle/httpidle_test.go
+++ b/transport/httpidle/httpidle_test.go
@@ -21,7 +21,7 @@
 	next  = time.Second
 )
 
-// call makes a call under the limits and returns what came and how long it took.
+// call makes a call under the timeouts and returns the bytes received and the duration.
 func call(t *testing.T, handler http.HandlerFunc) (bytes int64, took time.Duration, err error) {
 	network := link.NewNetwork()
 	here, there := network.Add("here", 1<<20), network.Add("there:80", 1<<20)
@@ -54,14 +54,14 @@
 	return bytes, time.Since(began), err
 }
 
-// piece sends some bytes at once.
+// piece writes some bytes and flushes them.
 func piece(w http.ResponseWriter) {
 	_, _ = w.Write(make([]byte, 100))
 	_ = http.NewResponseController(w).Flush()
 }
 
-// Guards against a server that takes a call and never answers it.
-func TestCallWithoutAnAnswerEnds(t *testing.T) {
+// Guards against a server that accepts a call and never responds.
+func TestCallWithoutResponseTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, took, err := call(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		if !errors.Is(err, httpidle.ErrIdleTimeout) || took < first || took > first+next {
@@ -70,8 +70,8 @@
 	})
 }
 
-// Guards against an answer that stops in its middle.
-func TestAnswerThatStopsEnds(t *testing.T) {
+// Guards against a response that stalls in its middle.
+func TestStalledResponseTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, took, err := call(t, func(w http.ResponseWriter, r *http.Request) {
 			piece(w)
@@ -83,8 +83,8 @@
 	})
 }
 
-// Guards against an answer that is cut for its length although it goes on arriving.
-func TestLongAnswerGoesOn(t *testing.T) {
+// Guards against cutting off a long response that keeps arriving.
+func TestLongResponseIsNotCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pieces = 20
 		bytes, took, err := call(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -99,8 +99,8 @@
 	})
 }
 
-// Guards against an answer that arrives by a little at a time for ever.
-func TestEndlessAnswerEnds(t *testing.T) {
+// Guards against a response that never ends and arrives in small pieces.
+func TestEndlessResponseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, took, err := call(t, func(w http.ResponseWriter, r *http.Request) {
 			for r.Context().Err() == nil {
