--- a/transport/httpstream/httpstream.go
+++ b/transport/httpstream/httpstream.go
@@ -1,6 +1,6 @@
-// Package httpstream makes the generated HTTP servers send streamed answers
-// part by part. A generated server copies a streamed body with io.Copy and does
-// not flush, so a caller would see tokens only when a buffer fills up.
+// Package httpstream makes the generated HTTP servers flush streamed responses. A
+// generated server copies a streamed body with io.Copy and does not flush, so a caller
+// would receive tokens only when a buffer fills up.
 package httpstream
 
 import (
@@ -11,7 +11,7 @@
 	"sync"
 )
 
-// Content types of bodies that are sent part by part.
+// Content types of bodies that are flushed after each write.
 const (
 	typeEvents = "text/event-stream"
 	typeFrames = "application/octet-stream"
@@ -20,18 +20,18 @@
 // FlushHandler wraps a handler so that each write of a streamed body is sent at once.
 func FlushHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		out := &writer{ResponseWriter: w}
+		out := &flushWriter{ResponseWriter: w}
 		next.ServeHTTP(out, r.WithContext(context.WithValue(r.Context(), writerKey{}, out)))
 	})
 }
 
-// writer flushes in Write and not in ReadFrom: the generated server wraps the
-// writer in one of its own that hides ReadFrom, and io.Copy then calls Write.
-// Symptom of the other way: the first token arrives together with the last.
-type writer struct {
+// flushWriter flushes in Write and not in ReadFrom: the generated server wraps the writer
+// in one of its own that hides ReadFrom, and io.Copy then calls Write. With a flush in
+// ReadFrom, the first token would arrive together with the last.
+type flushWriter struct {
 	http.ResponseWriter
-	flusher http.Flusher // set while a streamed body is written
-	sent    bool         // by SendEvents, headers and all
+	flusher    http.Flusher // set while a streamed body is written
+	eventsSent bool         // SendEvents has sent the header and the body
 }
 
 type writerKey struct{}
@@ -43,26 +43,26 @@
 	return &buf
 }}
 
-// SendEvents sends server-sent events to the caller whose handler runs in ctx
-// and closes the body. It returns what the handler gives to the generated server
-// in the body's place: nothing more, or the body itself when ctx is of no handler
-// behind Flush. io.Copy of the generated server would hold 32 KiB for as long as
-// the stream is open, four tenths of what a stream takes in memory.
+// SendEvents sends server-sent events to the caller whose handler runs in ctx, and closes
+// the body. It returns the body to hand to the generated server instead: an empty one, or
+// the body itself if ctx does not come from a handler behind FlushHandler. io.Copy in the
+// generated server would hold a 32 KiB buffer for as long as the stream is open, which is
+// 40 % of the memory of a stream.
 func SendEvents(ctx context.Context, body io.ReadCloser) io.ReadCloser {
-	w, ok := ctx.Value(writerKey{}).(*writer)
+	w, ok := ctx.Value(writerKey{}).(*flushWriter)
 	if !ok {
 		return body
 	}
 	w.Header().Set("Content-Type", typeEvents)
 	w.WriteHeader(http.StatusOK)
-	w.sent = true
+	w.eventsSent = true
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
 	for {
 		n, err := body.Read(*buf)
 		if n > 0 {
 			if _, writeErr := w.Write((*buf)[:n]); writeErr != nil {
-				break // the caller went away
+				break // the caller has disconnected
 			}
 		}
 		if err != nil {
@@ -74,15 +74,15 @@
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (w *writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *flushWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader sends the headers of a streamed body before its first part.
-func (w *writer) WriteHeader(status int) {
-	if w.sent {
+// WriteHeader flushes the header of a streamed body before its first write.
+func (w *flushWriter) WriteHeader(status int) {
+	if w.eventsSent {
 		return
 	}
 	w.ResponseWriter.WriteHeader(status)
-	if !streamed(w.Header().Get("Content-Type")) {
+	if !isStreamed(w.Header().Get("Content-Type")) {
 		return
 	}
 	if f, ok := w.ResponseWriter.(http.Flusher); ok {
@@ -91,11 +91,11 @@
 	}
 }
 
-func streamed(contentType string) bool {
+func isStreamed(contentType string) bool {
 	return contentType == typeEvents || contentType == typeFrames
 }
 
-func (w *writer) Write(part []byte) (int, error) {
+func (w *flushWriter) Write(part []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(part)
 	if err == nil && w.flusher != nil {
 		w.flusher.Flush()
