--- a/transport/loadcast/codec.go
+++ b/transport/loadcast/codec.go
@@ -6,23 +6,23 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-var kindOnWire = map[loadhub.Kind]peerpb.LoadCastKind{
+var kindToProto = map[loadhub.Kind]peerpb.LoadCastKind{
 	loadhub.Direct:    peerpb.LoadCastKind_LOAD_CAST_KIND_DIRECT,
 	loadhub.HubReport: peerpb.LoadCastKind_LOAD_CAST_KIND_WORD,
 	loadhub.RegionSum: peerpb.LoadCastKind_LOAD_CAST_KIND_REGION,
 	loadhub.DomainSum: peerpb.LoadCastKind_LOAD_CAST_KIND_DOMAIN_SUM,
 }
 
-var kindOfWire = func() map[peerpb.LoadCastKind]loadhub.Kind {
-	out := make(map[peerpb.LoadCastKind]loadhub.Kind, len(kindOnWire))
-	for kind, onWire := range kindOnWire {
-		out[onWire] = kind
+var kindFromProto = func() map[peerpb.LoadCastKind]loadhub.Kind {
+	out := make(map[peerpb.LoadCastKind]loadhub.Kind, len(kindToProto))
+	for kind, protoKind := range kindToProto {
+		out[protoKind] = kind
 	}
 	return out
 }()
 
 func encode(m *loadhub.Message) *peerpb.LoadCast {
-	out := &peerpb.LoadCast{From: m.From, Kind: kindOnWire[m.Kind], Domain: m.Domain}
+	out := &peerpb.LoadCast{From: m.From, Kind: kindToProto[m.Kind], Domain: m.Domain}
 	for _, s := range m.Report.Servers {
 		out.Servers = append(out.Servers, &peerpb.ServerLoadCast{
 			Server: s.Server, Pending: uint32(s.PendingTokens), Urgent: uint32(s.UrgentTokens), InFlight: uint32(s.InFlight),
@@ -41,7 +41,7 @@
 }
 
 func decode(m *peerpb.LoadCast) loadhub.Message {
-	out := loadhub.Message{Kind: kindOfWire[m.GetKind()], From: m.GetFrom(), Domain: m.GetDomain()}
+	out := loadhub.Message{Kind: kindFromProto[m.GetKind()], From: m.GetFrom(), Domain: m.GetDomain()}
 	d := &out.Report
 	for _, s := range m.GetServers() {
 		d.Servers = append(d.Servers, placement.ServerLoad{
--- a/transport/loadcast/codec_test.go
+++ b/transport/loadcast/codec_test.go
@@ -8,8 +8,8 @@
 	"github.com/basilroute/basilroute/coordination/placement"
 )
 
-// Guards against a message that arrives as another one.
-func TestMessagesSurviveTheWire(t *testing.T) {
+// Guards against a message that is decoded as a different one.
+func TestMessageRoundTrip(t *testing.T) {
 	for _, kind := range []loadhub.Kind{loadhub.Direct, loadhub.HubReport, loadhub.RegionSum, loadhub.DomainSum} {
 		sent := loadhub.Message{Kind: kind, From: "i0", Domain: "east-a", Report: placement.LoadReport{
 			Servers:    []placement.ServerLoad{{Server: 1, PendingTokens: 2, UrgentTokens: 3, InFlight: 4, Served: 5, Failed: 6, Down: true}},
--- a/transport/loadcast/loadcast.go
+++ b/transport/loadcast/loadcast.go
@@ -1,6 +1,6 @@
-// Package loadcast carries what the instances of a region tell each other of their
-// load, in datagrams: several a second, small, and of no use when late. Whom an instance tells
-// is decided by loadhub.
+// Package loadcast carries the load reports between the instances of a region in
+// datagrams: they are sent several times a second, are small, and are useless when late.
+// Package loadhub decides to which peers an instance sends.
 package loadcast
 
 import (
@@ -18,17 +18,18 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// maxDatagram bounds what is read; what is sent stays below a link's packet size
-// unless it speaks of a hundred servers.
+// maxDatagram bounds the size of a received datagram. Sent datagrams stay below the MTU of
+// a link unless they contain about a hundred servers.
 const maxDatagram = 16 << 10
 
-// Broadcaster sends and receives.
+// Broadcaster sends and receives load reports.
 type Broadcaster struct {
 	Self        string
 	Incarnation uint64
-	// LoadReport returns the own load.
+	// LoadReport returns the load report of the local instance.
 	LoadReport func() placement.LoadReport
-	// ApplyReport takes in the load of a source, which replaces what the source said before.
+	// ApplyReport applies the load report of a source. It replaces the source's previous
+	// report.
 	ApplyReport func(source string, d *placement.LoadReport, now time.Time)
 
 	conn *net.UDPConn
@@ -36,18 +37,19 @@
 
 	mu       sync.Mutex
 	exchange *loadhub.Exchange
-	seen     map[string]position // by sender
+	lastSeen map[string]position // by sender
 }
 
-// position is the last datagram of a sender.
+// position identifies the last datagram of a sender.
 type position struct{ incarnation, seq uint64 }
 
-// New returns a caster of an instance that decides by an exchange.
+// New returns a broadcaster for an instance that uses the exchange to choose its
+// recipients.
 func New(self string, incarnation uint64, exchange *loadhub.Exchange) *Broadcaster {
-	return &Broadcaster{Self: self, Incarnation: incarnation, exchange: exchange, seen: make(map[string]position)}
+	return &Broadcaster{Self: self, Incarnation: incarnation, exchange: exchange, lastSeen: make(map[string]position)}
 }
 
-// SetPeers takes in the other live instances of the region.
+// SetPeers sets the other live instances of the region.
 func (c *Broadcaster) SetPeers(peers []loadhub.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,15 +60,15 @@
 func (c *Broadcaster) Listen(address string) error {
 	addr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return errors.Wrap(err, "load casts")
+		return errors.Wrap(err, "listen for load reports")
 	}
 	c.conn, err = net.ListenUDP("udp", addr)
-	return errors.Wrap(err, "load casts")
+	return errors.Wrap(err, "listen for load reports")
 }
 
 // Run sends and receives until ctx ends.
 func (c *Broadcaster) Run(ctx context.Context) {
-	stop := context.AfterFunc(ctx, func() { _ = c.conn.Close() }) // ends receive
+	stop := context.AfterFunc(ctx, func() { _ = c.conn.Close() }) // unblocks receive
 	defer stop()
 	go c.receive(ctx)
 	ticker := time.NewTicker(loadhub.ReportInterval)
@@ -77,17 +79,17 @@
 		case <-ctx.Done():
 			return
 		}
-		c.round(time.Now())
+		c.broadcastRound(time.Now())
 	}
 }
 
-func (c *Broadcaster) round(now time.Time) {
-	own := c.LoadReport()
+func (c *Broadcaster) broadcastRound(now time.Time) {
+	report := c.LoadReport()
 	c.mu.Lock()
-	out, heard := c.exchange.Round(own, now)
+	out, updates := c.exchange.Round(report, now)
 	c.mu.Unlock()
-	for i := range heard {
-		c.ApplyReport(heard[i].Source, &heard[i].Report, now)
+	for i := range updates {
+		c.ApplyReport(updates[i].Source, &updates[i].Report, now)
 	}
 	for i := range out {
 		c.send(&out[i])
@@ -100,10 +102,10 @@
 	m.Incarnation, m.Seq = c.Incarnation, c.seq
 	packet, err := proto.Marshal(m)
 	if err != nil {
-		return // cannot be: every field has been set here
+		return // cannot happen: every field is set above
 	}
 	for _, to := range e.To {
-		_, _ = c.conn.WriteToUDPAddrPort(packet, to) // a lost datagram is made up for by the next
+		_, _ = c.conn.WriteToUDPAddrPort(packet, to) // the next datagram replaces a lost one
 	}
 }
 
@@ -115,36 +117,36 @@
 			return
 		}
 		if err != nil {
-			continue // an error of one datagram, such as a peer that does not listen
+			continue // an error of one datagram, such as a peer whose port is closed
 		}
 		var m peerpb.LoadCast
 		if err := proto.Unmarshal(buffer[:n], &m); err != nil || m.GetFrom() == c.Self {
 			continue
 		}
-		c.hear(&m, from, time.Now())
+		c.handle(&m, from, time.Now())
 	}
 }
 
-func (c *Broadcaster) hear(m *peerpb.LoadCast, from netip.AddrPort, now time.Time) {
+func (c *Broadcaster) handle(m *peerpb.LoadCast, from netip.AddrPort, now time.Time) {
 	c.mu.Lock()
-	if !c.newer(m) {
+	if !c.isNewer(m) {
 		c.mu.Unlock()
 		return
 	}
-	heard, ok := c.exchange.Receive(decode(m), from, now)
+	update, ok := c.exchange.Receive(decode(m), from, now)
 	c.mu.Unlock()
 	if ok {
-		c.ApplyReport(heard.Source, &heard.Report, now)
+		c.ApplyReport(update.Source, &update.Report, now)
 	}
 }
 
-// newer tells whether a datagram comes after those of its sender seen before. The caller
-// holds the lock.
-func (c *Broadcaster) newer(m *peerpb.LoadCast) bool {
-	last := c.seen[m.GetFrom()]
+// isNewer reports whether a datagram is newer than all earlier ones of its sender, and
+// records it if so. The caller holds the lock.
+func (c *Broadcaster) isNewer(m *peerpb.LoadCast) bool {
+	last := c.lastSeen[m.GetFrom()]
 	if m.GetIncarnation() < last.incarnation || m.GetIncarnation() == last.incarnation && m.GetSeq() <= last.seq {
 		return false
 	}
-	c.seen[m.GetFrom()] = position{m.GetIncarnation(), m.GetSeq()}
+	c.lastSeen[m.GetFrom()] = position{m.GetIncarnation(), m.GetSeq()}
 	return true
 }
