--- a/transport/lending/lending.go
+++ b/transport/lending/lending.go
@@ -1,5 +1,5 @@
-// Package lending carries the loans of quota tokens between instances: it asks the
-// lenders that the ledger plans to ask, at most one call at a time to each.
+// Package lending carries loans of quota tokens between instances. It calls the lenders
+// that the ledger plans to borrow from, with at most one open call to each.
 package lending
 
 import (
@@ -18,63 +18,64 @@
 )
 
 const (
-	// TickInterval is how often the ledger is looked at when no request waits.
+	// TickInterval is the interval of the ledger ticks when no request is waiting.
 	TickInterval = 50 * time.Millisecond
 
-	lendersEvery  = 200 * time.Millisecond // the members are looked through
-	borrowTimeout = 500 * time.Millisecond
-	returnTimeout = time.Second
+	lenderRefreshInterval = 200 * time.Millisecond // how often the list of lenders is refreshed
+	borrowTimeout         = 500 * time.Millisecond
+	returnTimeout         = time.Second
 )
 
 // Lender is an instance that may have tokens to lend.
 type Lender struct {
 	Member  slots.Member
 	Address string
-	Rank    int // 0 for the own failure domain, 1 for the own region, 2 for others
+	Rank    int // 0 for the local failure domain, 1 for the local region, 2 for other regions
 
 	order uint64 // within the rank, see Sort
 }
 
-// Sort orders lenders the nearest first. Instances differ in the order within a
-// rank, which spreads the calls.
+// Sort sorts lenders by rank, nearest first. The order within a rank differs between
+// instances, which spreads the calls.
 func Sort(list []Lender, self string) {
-	own := xxhash.Sum64String(self)
+	selfHash := xxhash.Sum64String(self)
 	for i := range list {
-		list[i].order = xxhash.Sum64String(list[i].Member.ID) * (own | 1)
+		list[i].order = xxhash.Sum64String(list[i].Member.ID) * (selfHash | 1)
 	}
 	slices.SortFunc(list, func(a, b Lender) int {
 		return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.order, b.order), cmp.Compare(a.Member.ID, b.Member.ID))
 	})
 }
 
-// Borrower borrows for a ledger.
+// Borrower borrows tokens for a ledger.
 type Borrower struct {
 	Ledger  *quota.Ledger
 	Pool    *peer.Pool
 	Self    func() slots.Member
-	Lenders func(now time.Time) []Lender // the nearest first
-	// OnRefresh is called as often as the lenders are looked for; it may be nil.
+	Lenders func(now time.Time) []Lender // nearest first
+	// OnRefresh is called after each refresh of the list of lenders; it may be nil.
 	OnRefresh func(now time.Time)
-	// ApplyDocuments hands changed documents to the ledger.
+	// ApplyDocuments applies changed service documents to the ledger.
 	ApplyDocuments func(now time.Time)
 
-	mu     sync.Mutex
-	open   map[slots.Member]bool      // at most one call to each lender, so that reports arrive in order
-	silent map[slots.Member]time.Time // lenders that did not answer, until when they are asked last
+	mu           sync.Mutex
+	openCalls    map[slots.Member]bool      // at most one call to each lender, so that reports arrive in order
+	unresponsive map[slots.Member]time.Time // lenders that did not respond; they are called last until the time
 }
 
-// Run keeps the ledger going until ctx ends: documents, waiting requests and loans.
+// Run ticks the ledger until ctx ends: it applies documents, serves waiting requests and
+// borrows tokens.
 func (l *Borrower) Run(ctx context.Context) {
-	var running sync.WaitGroup
-	defer running.Wait()
+	var calls sync.WaitGroup
+	defer calls.Wait()
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
-	last, looked := time.Now(), time.Time{}
-	found := newLenders(nil)
+	last, refreshed := time.Now(), time.Time{}
+	current := newLenders(nil)
 	for ctx.Err() == nil {
 		now := time.Now()
-		if now.Sub(looked) >= lendersEvery {
-			looked, found = now, newLenders(l.Lenders(now))
+		if now.Sub(refreshed) >= lenderRefreshInterval {
+			refreshed, current = now, newLenders(l.Lenders(now))
 			if l.OnRefresh != nil {
 				l.OnRefresh(now)
 			}
@@ -84,7 +85,7 @@
 			l.Ledger.Tick(now.Sub(last), now)
 			last = now
 		}
-		l.borrow(ctx, found, &running, now)
+		l.borrow(ctx, current, &calls, now)
 		select {
 		case <-ticker.C:
 		case <-l.Ledger.BorrowNeeded():
@@ -93,25 +94,25 @@
 	}
 }
 
-func (l *Borrower) set(m slots.Member, open bool) {
+func (l *Borrower) setOpen(m slots.Member, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open == nil {
-		l.open = make(map[slots.Member]bool)
+	if l.openCalls == nil {
+		l.openCalls = make(map[slots.Member]bool)
 	}
 	if !open {
-		delete(l.open, m)
+		delete(l.openCalls, m)
 		return
 	}
-	l.open[m] = true
+	l.openCalls[m] = true
 }
 
-// HasOpenCall tells whether a call to some incarnation of an instance is open: its answer
-// may still bring a loan.
+// HasOpenCall reports whether a call to any incarnation of an instance is open. Its
+// response may still bring a loan.
 func (l *Borrower) HasOpenCall(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for m := range l.open {
+	for m := range l.openCalls {
 		if m.ID == id {
 			return true
 		}
@@ -119,21 +120,21 @@
 	return false
 }
 
-func (l *Borrower) borrow(ctx context.Context, found *lenders, running *sync.WaitGroup, now time.Time) {
-	for _, c := range l.Ledger.Plan(l.callable(found.members, now), now) {
-		l.set(c.Lender, true)
-		running.Go(func() {
-			defer l.set(c.Lender, false)
-			lent := l.call(ctx, found.addresses[c.Lender], c, borrowTimeout)
-			l.heard(c.Lender, lent != nil, time.Now())
-			l.Ledger.CompleteCall(c, lent, time.Now())
+func (l *Borrower) borrow(ctx context.Context, current *lenders, calls *sync.WaitGroup, now time.Time) {
+	for _, c := range l.Ledger.Plan(l.callable(current.members, now), now) {
+		l.setOpen(c.Lender, true)
+		calls.Go(func() {
+			defer l.setOpen(c.Lender, false)
+			grants := l.call(ctx, current.addresses[c.Lender], c, borrowTimeout)
+			l.recordResponse(c.Lender, grants != nil, time.Now())
+			l.Ledger.CompleteCall(c, grants, time.Now())
 		})
 	}
 }
 
-// lenders is what one look at the members found. It is not changed.
+// lenders is an immutable snapshot of the list of lenders.
 type lenders struct {
-	members   []slots.Member // the nearest first
+	members   []slots.Member // nearest first
 	addresses map[slots.Member]string
 }
 
@@ -146,71 +147,71 @@
 	return out
 }
 
-// silentFor is how long a lender that did not answer is asked last.
-const silentFor = 800 * time.Millisecond
+// unresponsivePeriod is how long a lender that did not respond is called last.
+const unresponsivePeriod = 800 * time.Millisecond
 
-// heard notes whether a lender answered.
-func (l *Borrower) heard(lender slots.Member, answered bool, now time.Time) {
+// recordResponse records whether a lender responded.
+func (l *Borrower) recordResponse(lender slots.Member, responded bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if answered {
-		delete(l.silent, lender)
+	if responded {
+		delete(l.unresponsive, lender)
 		return
 	}
-	if l.silent == nil {
-		l.silent = make(map[slots.Member]time.Time)
+	if l.unresponsive == nil {
+		l.unresponsive = make(map[slots.Member]time.Time)
 	}
-	l.silent[lender] = now.Add(silentFor)
+	l.unresponsive[lender] = now.Add(unresponsivePeriod)
 }
 
-// callable returns the members to whom no call is open, those who did not answer just
-// now last.
+// callable returns the members without an open call, with those that recently did not
+// respond last.
 func (l *Borrower) callable(members []slots.Member, now time.Time) []slots.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.silent, func(_ slots.Member, until time.Time) bool { return !now.Before(until) })
-	if len(l.open) == 0 && len(l.silent) == 0 {
+	maps.DeleteFunc(l.unresponsive, func(_ slots.Member, until time.Time) bool { return !now.Before(until) })
+	if len(l.openCalls) == 0 && len(l.unresponsive) == 0 {
 		return members
 	}
 	out := make([]slots.Member, 0, len(members))
-	var silent []slots.Member
+	var unresponsive []slots.Member
 	for _, m := range members {
-		switch _, isSilent := l.silent[m]; {
-		case l.open[m]:
-		case isSilent:
-			silent = append(silent, m)
+		switch _, isUnresponsive := l.unresponsive[m]; {
+		case l.openCalls[m]:
+		case isUnresponsive:
+			unresponsive = append(unresponsive, m)
 		default:
 			out = append(out, m)
 		}
 	}
-	return append(out, silent...)
+	return append(out, unresponsive...)
 }
 
-// call returns nil when no answer came.
+// call returns nil if no response arrived.
 func (l *Borrower) call(ctx context.Context, address string, c *quota.Call, timeout time.Duration) []quota.LoanGrant {
 	client, err := l.Pool.Get(address)
 	if err != nil {
-		return nil // counts as no answer: the ledger asks another lender
+		return nil // counts as no response: the ledger calls another lender
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	resp, err := client.Borrow(ctx, peer.EncodeBorrow(l.Self(), c))
 	if err != nil {
-		return nil // as above; the tokens lent meanwhile are lost until the loan expires
+		return nil // as above; tokens that were lent are unusable until the loan expires
 	}
 	return peer.DecodeGrants(c, resp)
 }
 
-// ReturnAll gives back what was borrowed, for a planned stop.
+// ReturnAll returns all borrowed tokens, for a graceful shutdown.
 func (l *Borrower) ReturnAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, returnTimeout)
 	defer cancel()
-	found := newLenders(l.Lenders(time.Now()))
-	var running sync.WaitGroup
+	current := newLenders(l.Lenders(time.Now()))
+	var calls sync.WaitGroup
 	for _, c := range l.Ledger.ReturnAll(time.Now()) {
-		if address, ok := found.addresses[c.Lender]; ok {
-			running.Go(func() { l.call(ctx, address, c, returnTimeout) })
+		if address, ok := current.addresses[c.Lender]; ok {
+			calls.Go(func() { l.call(ctx, address, c, returnTimeout) })
 		}
 	}
-	running.Wait()
+	calls.Wait()
 }
