--- a/transport/dispatch/admit.go
+++ b/transport/dispatch/admit.go
@@ -11,8 +11,8 @@
 	"github.com/basilroute/basilroute/state/servers"
 )
 
-// Admission holds a queue for each service and a limiter for each server of the
-// own failure domain, and waits in the queues. It is safe for concurrent use.
+// Admission holds an admission queue for each service and a concurrency limiter for each
+// server of the local failure domain. It is safe for concurrent use.
 type Admission struct {
 	servers *servers.Table
 
@@ -21,7 +21,7 @@
 	limiters map[*servers.Entry]*admission.Limiter
 }
 
-// NewAdmission returns admission to the servers of a table.
+// NewAdmission returns the admission for the servers of a table.
 func NewAdmission(table *servers.Table) *Admission {
 	return &Admission{
 		servers:  table,
@@ -30,7 +30,7 @@
 	}
 }
 
-func settingsOf(s *service.Service) admission.Settings {
+func queueSettings(s *service.Service) admission.Settings {
 	return admission.Settings{Queue: int(s.Limits.Queue), BulkFloor: s.Classes.Bulk.Floor}
 }
 
@@ -39,13 +39,13 @@
 	defer a.mu.Unlock()
 	q := a.queues[s.Name]
 	if q == nil {
-		q = admission.NewQueue(settingsOf(s))
+		q = admission.NewQueue(queueSettings(s))
 		a.queues[s.Name] = q
 	}
 	return q
 }
 
-// refresh tells the queue how many slots the service's servers have now.
+// refresh sets the capacity of the queue to the limits of the servers that are usable now.
 func (a *Admission) refresh(s *service.Service, q *admission.Queue, now time.Time) {
 	capacity, forBulk := 0, 0
 	for _, e := range a.servers.Entries(s.Name) {
@@ -54,21 +54,21 @@
 			forBulk += e.BulkLimit()
 		}
 	}
-	q.Configure(settingsOf(s), capacity, forBulk, now)
+	q.Configure(queueSettings(s), capacity, forBulk, now)
 }
 
-// Refresh takes in what became of the service's servers, and refuses requests
-// that will not start in time any more.
+// Refresh applies the current state of the service's servers, and refuses queued requests
+// that cannot start in time any more.
 func (a *Admission) Refresh(s *service.Service, now time.Time) {
 	q := a.queue(s)
 	a.refresh(s, q, now)
 	q.Shed(now)
 }
 
-// Stats tells how the service's queue stands.
+// Stats returns the state of the service's queue.
 func (a *Admission) Stats(s *service.Service) admission.Stats { return a.queue(s).Stats() }
 
-// PruneLimiters drops the limiters of servers that are no longer known.
+// PruneLimiters removes the limiters of servers that are no longer in the table.
 func (a *Admission) PruneLimiters() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// limit changes a server's limiter and puts its limit in force.
-func (a *Admission) limit(e *servers.Entry, s *service.Service, change func(l *admission.Limiter, ceiling int)) {
+// updateLimit applies a change to a server's limiter and sets the resulting limit.
+func (a *Admission) updateLimit(e *servers.Entry, s *service.Service, change func(l *admission.Limiter, ceiling int)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l := a.limiters[e]
@@ -94,31 +94,31 @@
 	e.SetLimit(l.Limit(ceiling))
 }
 
-// ApplyReport takes in a server's report.
+// ApplyReport applies a server's load report.
 func (a *Admission) ApplyReport(e *servers.Entry, s *service.Service, now time.Time) {
 	load := &e.View().Load
-	a.limit(e, s, func(l *admission.Limiter, _ int) {
+	a.updateLimit(e, s, func(l *admission.Limiter, _ int) {
 		l.ApplyReport(admission.LoadReport{BootID: load.BootID, Running: load.Running, Waiting: load.Waiting, BulkInFlight: e.Bulk()}, now)
 	})
 }
 
-func (a *Admission) answered(e *servers.Entry, s *service.Service, answer admission.Sample, now time.Time) {
-	a.limit(e, s, func(l *admission.Limiter, ceiling int) { l.AddSample(answer, ceiling, now) })
+func (a *Admission) addSample(e *servers.Entry, s *service.Service, answer admission.Sample, now time.Time) {
+	a.updateLimit(e, s, func(l *admission.Limiter, ceiling int) { l.AddSample(answer, ceiling, now) })
 }
 
-// acquire waits for a slot. The slot has to be given back with release.
+// acquire waits for a slot. The caller has to call release to return the slot.
 func (a *Admission) acquire(ctx context.Context, w *Work, s *service.Service, weight float64) (release func(), refused *refusal.Refusal) {
 	now := time.Now()
 	q := a.queue(s)
 	a.refresh(s, q, now)
-	settled := make(chan struct{})
+	decided := make(chan struct{})
 	t := q.Submit(admission.Request{
 		Account: w.Account, Weight: weight, Class: w.Class, Cost: w.Cost(s),
 		StartBy:  earlier(now.Add(w.MaxWait), w.Deadline),
-		OnSettle: func(*admission.Ticket) { close(settled) },
+		OnSettle: func(*admission.Ticket) { close(decided) },
 	}, now)
-	if gone := await(ctx, settled, t.StartBy); gone && q.Cancel(t, time.Now()) {
-		return nil, left(ctx, t)
+	if timedOut := await(ctx, decided, t.StartBy); timedOut && q.Cancel(t, time.Now()) {
+		return nil, cancelRefusal(ctx, t)
 	}
 	if !t.Granted() {
 		return nil, t.Refusal
@@ -130,18 +130,18 @@
 	}, nil
 }
 
-// await waits until the ticket is settled. It tells whether the caller went away
-// or the latest start passed before.
-func await(ctx context.Context, settled <-chan struct{}, start time.Time) bool {
+// await waits until the ticket is decided. It returns true if the caller disconnected or
+// the latest start time passed first.
+func await(ctx context.Context, decided <-chan struct{}, start time.Time) bool {
 	select {
-	case <-settled:
+	case <-decided:
 		return false
 	default:
 	}
 	timer := time.NewTimer(time.Until(start))
 	defer timer.Stop()
 	select {
-	case <-settled:
+	case <-decided:
 		return false
 	case <-ctx.Done():
 	case <-timer.C:
@@ -149,7 +149,7 @@
 	return true
 }
 
-func left(ctx context.Context, t *admission.Ticket) *refusal.Refusal {
+func cancelRefusal(ctx context.Context, t *admission.Ticket) *refusal.Refusal {
 	if ctx.Err() != nil {
 		return refusal.New(refusal.CodeDeadline, "the request ended while it waited")
 	}
--- a/transport/dispatch/admit_test.go
+++ b/transport/dispatch/admit_test.go
@@ -11,7 +11,7 @@
 	"github.com/basilroute/basilroute/state/servers"
 )
 
-func admissionOf(t *testing.T) (*Admission, *service.Service) {
+func newTestAdmission(t *testing.T) (*Admission, *service.Service) {
 	t.Helper()
 	table := servers.New()
 	table.Replace([]servers.Identity{{ID: "s1", Service: "ledger"}}, time.Now())
@@ -22,27 +22,27 @@
 	return NewAdmission(table), svc
 }
 
-func order(wait time.Duration) *Work {
+func orderWork(wait time.Duration) *Work {
 	return &Work{
 		Account: "grocers", Service: "ledger", Class: service.ClassInteractive, MaxWait: wait,
 		Deadline: time.Now().Add(time.Hour), Operation: &Operation{Name: "order"},
 	}
 }
 
-// Three callers wait for the only slot. One goes away, one reaches its waiting
-// limit: both have not run and hold nothing. The third starts when the slot comes
-// free, and not before.
-func TestWaitingEndsWithTheCallerTheLimitOrASlot(t *testing.T) {
+// Three callers wait for the only slot. One disconnects, one reaches its maximum wait:
+// both are refused as not run and hold nothing. The third starts when the slot is
+// released, and not before.
+func TestWaitEndsOnCancelTimeoutOrSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, svc := admissionOf(t)
-		release, refused := a.acquire(t.Context(), order(time.Second), svc, 1)
+		a, svc := newTestAdmission(t)
+		release, refused := a.acquire(t.Context(), orderWork(time.Second), svc, 1)
 		if refused != nil {
 			t.Fatal(refused)
 		}
 		began := time.Now()
-		ctx, goAway := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		wait := func(ctx context.Context, limit, want time.Duration, code refusal.Code) {
-			free, refused := a.acquire(ctx, order(limit), svc, 1)
+			free, refused := a.acquire(ctx, orderWork(limit), svc, 1)
 			if waited := time.Since(began); waited != want {
 				t.Errorf("waited %s, want %s", waited, want)
 			}
@@ -57,7 +57,7 @@
 		go wait(t.Context(), 200*time.Millisecond, 200*time.Millisecond, refusal.CodeOverloaded)
 		go wait(t.Context(), time.Minute, 300*time.Millisecond, "")
 		time.Sleep(100 * time.Millisecond)
-		goAway()
+		disconnect()
 		time.Sleep(200 * time.Millisecond)
 		release()
 		synctest.Wait()
--- a/transport/dispatch/charge.go
+++ b/transport/dispatch/charge.go
@@ -10,9 +10,9 @@
 	"github.com/basilroute/basilroute/transport/metrics"
 )
 
-// charge takes the most tokens that the work can use. A request short of tokens
-// waits for minting or a loan, at most as long as its class allows. It is refused
-// as soon as it is plain that the tokens cannot come in time.
+// charge takes the maximum number of tokens that the work can use. A request short of
+// tokens waits for minting or a loan, at most as long as its class allows. It is refused
+// as soon as it is clear that the tokens cannot arrive in time.
 func (f *Front) charge(ctx context.Context, account *service.Account, w *Work, cost float64) (quota.Charge, *refusal.Refusal) {
 	if cost > account.Burst {
 		return quota.Charge{}, refusal.New(refusal.CodeTooLarge, "the request may use %.0f tokens, the account's burst is %.0f", cost, account.Burst)
@@ -24,20 +24,21 @@
 	limit := min(w.MaxWait, time.Until(w.Deadline))
 	waiter := f.Ledger.Wait(account.Name, cost, limit, time.Now())
 	select {
-	case verdict := <-waiter.Done:
-		if !verdict.OK {
+	case decision := <-waiter.Done:
+		if !decision.OK {
 			f.Metrics.RecordQuota(metrics.QuotaRefused, cost)
-			return quota.Charge{}, refusal.New(refusal.CodeRateLimited, "the account is at its rate").After(verdict.RetryAfter)
+			return quota.Charge{}, refusal.New(refusal.CodeRateLimited, "the account is at its rate").After(decision.RetryAfter)
 		}
 		f.Metrics.RecordQuota(metrics.QuotaCharged, cost)
-		return verdict.Charge, nil
+		return decision.Charge, nil
 	case <-ctx.Done():
 		f.Ledger.Abandon(waiter, time.Now())
-		return quota.Charge{}, refusal.From(f.cut(ctx, refusal.New(refusal.CodeDeadline, "the request ran out of time"))).WithRun(refusal.NotRun)
+		return quota.Charge{}, refusal.From(f.cancelError(ctx, refusal.New(refusal.CodeDeadline, "the request ran out of time"))).WithRun(refusal.NotRun)
 	}
 }
 
-// settle refunds what the worst-case charge was too high by.
+// settle refunds the difference between the charge, which is an upper bound, and the
+// tokens used.
 func (f *Front) settle(charge quota.Charge, w *Work, u *usage, err error) {
 	used := charge.Tokens
 	switch {
--- a/transport/dispatch/crash.go
+++ b/transport/dispatch/crash.go
@@ -11,43 +11,43 @@
 	"github.com/basilroute/basilroute/state/servers"
 )
 
-// probeTimeout bounds the question whether a server is still the same process.
-// The caller's retry waits for it.
+// probeTimeout bounds the check whether a server is still the same process. The retry of
+// the request waits for it.
 const probeTimeout = 250 * time.Millisecond
 
-// failed takes in that the connection to a server failed with work in flight,
-// and finds out whether the server crashed.
-func (l *LocalDispatcher) failed(ctx context.Context, w *Work, server servers.Server, err error) {
+// connectionFailed records that the connection to a server failed with work in flight, and
+// finds out whether the server crashed.
+func (l *LocalDispatcher) connectionFailed(ctx context.Context, w *Work, server servers.Server, err error) {
 	r := refusal.From(err)
 	if ctx.Err() != nil || r.Code != refusal.CodeBackendFailed {
 		return
 	}
-	l.Servers.RecordCallFailure(w.Service, server.ID, failureLimit)
+	l.Servers.RecordCallFailure(w.Service, server.ID, maxConsecutiveFailures)
 	if r.Run != refusal.Unknown {
 		return
 	}
-	l.judge(ctx, w, server)
+	l.detectCrash(ctx, w, server)
 }
 
-// judge tells a crash from a broken connection; quarantine's package comment
-// gives the reasons.
-func (l *LocalDispatcher) judge(ctx context.Context, w *Work, server servers.Server) {
+// detectCrash distinguishes a crash from a broken connection. The package comment of
+// quarantine gives the reasons.
+func (l *LocalDispatcher) detectCrash(ctx context.Context, w *Work, server servers.Server) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	before := server.Load.BootID
-	load, err := l.ask(ctx, w, server)
+	bootID := server.Load.BootID
+	load, err := l.fetchLoad(ctx, w, server)
 	now := time.Now()
 	switch {
-	case err == nil && load.BootID == before:
+	case err == nil && load.BootID == bootID:
 		return
 	case err == nil || errors.Is(err, syscall.ECONNREFUSED):
-		l.Quarantine.RecordCrash(w.identity(), server.ID, before, now)
+		l.Quarantine.RecordCrash(w.quarantineKey(), server.ID, bootID, now)
 	default:
-		l.Quarantine.PresumeCrash(w.identity(), server.ID, before, now)
+		l.Quarantine.PresumeCrash(w.quarantineKey(), server.ID, bootID, now)
 	}
 }
 
-func (l *LocalDispatcher) ask(ctx context.Context, w *Work, server servers.Server) (servers.Load, error) {
+func (l *LocalDispatcher) fetchLoad(ctx context.Context, w *Work, server servers.Server) (servers.Load, error) {
 	svc := l.Catalog.Service(w.Service)
 	if svc != nil && svc.Type == service.TypePlain {
 		return l.Backend.PlainLoad(ctx, server.Address, time.Now())
--- a/transport/dispatch/front.go
+++ b/transport/dispatch/front.go
@@ -19,17 +19,17 @@
 	"github.com/basilroute/basilroute/transport/metrics"
 )
 
-// Domains tells what is known of the failure domains for a service.
+// Domains provides the known state of the failure domains for a service.
 type Domains interface {
-	// Local returns the own failure domain as it is now.
+	// Local returns the current state of the local failure domain.
 	Local(service string) routing.Domain
-	// Peers returns the other live instances, those of the own failure domain
-	// included. The slice is shared and not to be changed.
+	// Peers returns the other live instances, including those of the local failure domain.
+	// The slice is shared and must not be modified.
 	Peers(service string) []routing.Domain
 }
 
-// Front runs the requests of callers: it charges them, chooses the failure
-// domain, and is the only one that retries.
+// Front runs the requests of callers: it charges them, chooses the failure domain, and
+// retries. No other component retries.
 type Front struct {
 	Region, Domain string
 	Catalog        *catalog.Catalog
@@ -44,7 +44,7 @@
 	Metrics        *metrics.Recorder // may be nil
 }
 
-// usage watches an answer on its way to the caller.
+// usage counts the tokens of an answer on its way to the caller.
 type usage struct {
 	Sink
 	frames int
@@ -63,7 +63,7 @@
 	return u.Sink.Frame(server, f)
 }
 
-// restart tells whether the answer may begin anew: nothing of it has reached the
+// restart reports whether the answer may start over, because nothing of it has reached the
 // caller.
 func (u *usage) restart() bool {
 	if u.frames == 0 {
@@ -77,14 +77,14 @@
 	return true
 }
 
-// Run carries the work to a backend server and its answer to the sink. The
-// error is a *refusal.Refusal, or the sink's own error.
+// Run sends the work to a backend server and its answer to the sink. The error is a
+// *refusal.Refusal or the error of the sink.
 func (f *Front) Run(ctx context.Context, account *service.Account, w *Work, sink Sink) error {
 	svc := f.Catalog.Service(w.Service)
 	if svc == nil {
 		return refusal.New(refusal.CodeNotFound, "no service %q", w.Service)
 	}
-	if until, refused := f.Quarantine.Quarantined(w.identity(), time.Now()); refused {
+	if until, refused := f.Quarantine.Quarantined(w.quarantineKey(), time.Now()); refused {
 		return quarantined(until)
 	}
 	cost := w.Cost(svc)
@@ -92,13 +92,13 @@
 	if refused != nil {
 		return refused
 	}
-	watched := &usage{Sink: sink}
-	err := f.attempts(ctx, svc, w, watched)
-	f.settle(charge, w, watched, err)
+	counted := &usage{Sink: sink}
+	err := f.runAttempts(ctx, svc, w, counted)
+	f.settle(charge, w, counted, err)
 	return err
 }
 
-func (f *Front) attempts(ctx context.Context, svc *service.Service, w *Work, u *usage) error {
+func (f *Front) runAttempts(ctx context.Context, svc *service.Service, w *Work, u *usage) error {
 	f.Retries.RecordRequest(svc)
 	rng := newRand()
 	request := f.request(svc, w)
@@ -110,19 +110,19 @@
 		if err == nil {
 			return nil
 		}
-		own := refusal.From(err)
-		if own.Code == refusal.CodeNoServer && last != nil {
-			return last // nowhere else to go: the first reason and its time to come back stand
+		current := refusal.From(err)
+		if current.Code == refusal.CodeNoServer && last != nil {
+			return last // no alternative is left: keep the previous reason and its retry time
 		}
-		run = worse(run, own.Run)
+		run = combineRun(run, current.Run)
 		if u.frames > 0 {
 			run = refusal.Ran
 		}
-		refused := own.WithRun(run)
+		refused := current.WithRun(run)
 		if ctx.Err() != nil {
-			return f.cut(ctx, refused)
+			return f.cancelError(ctx, refused)
 		}
-		if !u.restart() || !retry.Retryable(own, w.Repeatable(svc)) {
+		if !u.restart() || !retry.Retryable(current, w.Repeatable(svc)) {
 			return refused
 		}
 		wait, ok := f.Retries.Take(svc, refused.Code, w.Attempt, time.Until(w.Deadline), rng)
@@ -133,14 +133,14 @@
 			w.MaxWait = max(w.MaxWait-time.Since(sent), 0)
 		}
 		f.Metrics.RecordRetry(w.Service)
-		if !pause(ctx, wait) {
-			return f.cut(ctx, refused)
+		if !sleep(ctx, wait) {
+			return f.cancelError(ctx, refused)
 		}
 		last = refused
 	}
 }
 
-// request is what routing needs to know of the work.
+// request returns the inputs of routing for the work.
 func (f *Front) request(svc *service.Service, w *Work) *routing.Request {
 	r := &routing.Request{
 		Service: svc, Account: xxhash.Sum64String(w.Account), HomeRegion: w.Home, Hop: w.Hop,
@@ -152,10 +152,10 @@
 	return r
 }
 
-// worse returns what is known after two attempts. Without it a request that may
-// have run in its first attempt and was refused in the second would be reported
+// combineRun returns the run state of a request after two attempts. Without it a request
+// that may have run in its first attempt and was refused in the second would be reported
 // as not run, and its caller would send it again.
-func worse(a, b refusal.Run) refusal.Run {
+func combineRun(a, b refusal.Run) refusal.Run {
 	switch {
 	case a == refusal.Ran || b == refusal.Ran:
 		return refusal.Ran
@@ -165,16 +165,17 @@
 	return refusal.NotRun
 }
 
-// cut prefers the reason for which the request was cut, such as a withdrawn key.
-func (f *Front) cut(ctx context.Context, refused *refusal.Refusal) error {
+// cancelError prefers the cause for which the request was cancelled, such as a withdrawn
+// key.
+func (f *Front) cancelError(ctx context.Context, refused *refusal.Refusal) error {
 	if cause := context.Cause(ctx); cause != nil && cause != ctx.Err() {
 		return refusal.From(cause)
 	}
 	return refusal.New(refusal.CodeDeadline, "the request ran out of time").WithRun(refused.Run)
 }
 
-// pause waits, and tells whether the request goes on.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if the context ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -212,17 +213,17 @@
 }
 
 func (f *Front) choose(request *routing.Request, w *Work) *routing.Domain {
-	own, others := f.Domains.Local(w.Service), f.Domains.Peers(w.Service)
-	fingerprint := w.identity()
+	local, peers := f.Domains.Local(w.Service), f.Domains.Peers(w.Service)
+	fingerprint := w.quarantineKey()
 	w.designated = f.Quarantine.Suspected(fingerprint, time.Now())
 	if w.designated {
-		return routing.Designate(request, xxhash.Sum64String(fingerprint), &own, others)
+		return routing.Designate(request, xxhash.Sum64String(fingerprint), &local, peers)
 	}
-	return f.Router.ChooseDomain(request, &own, others)
+	return f.Router.ChooseDomain(request, &local, peers)
 }
 
-// exclude keeps the request's next attempt from a domain that refused it or an
-// instance that cannot be reached.
+// exclude excludes from the request's further attempts a domain that refused it or an
+// instance that is unreachable.
 func (f *Front) exclude(request *routing.Request, d *routing.Domain, err error) {
 	if err == nil {
 		return
--- a/transport/dispatch/local.go
+++ b/transport/dispatch/local.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	failureLimit  = 3 // failures in a row after which a server gets no new work
-	noServerRetry = time.Second
-	// suspectPause is how long a suspect waits before it runs again: copies of it
-	// that other instances dispatched at the same moment have crashed their
-	// servers by then, and the news is here.
-	suspectPause = 300 * time.Millisecond
+	maxConsecutiveFailures = 3 // consecutive failures after which a server gets no new work
+	noServerRetry          = time.Second
+	// suspectDelay is how long a suspect request waits before it runs again. By then
+	// copies of it that other instances dispatched at the same moment have crashed their
+	// servers, and this instance has received the crash reports.
+	suspectDelay = 300 * time.Millisecond
 )
 
-// LocalDispatcher runs work on the backend servers of the own failure domain.
+// LocalDispatcher runs work on the backend servers of the local failure domain.
 type LocalDispatcher struct {
 	Catalog    *catalog.Catalog
 	Servers    *servers.Table
@@ -39,23 +39,23 @@
 	Prefixes   *PrefixIndexes
 	Isolation  *quarantine.Isolation
 	Metrics    *metrics.Recorder // may be nil
-	Claims     *claim.Claimer    // of operations that may run at most once
+	Claims     *claim.Claimer    // for operations that may run at most once
 }
 
-// Run waits for a slot and sends the work to one server. The error is a
-// *refusal.Refusal, or the sink's own error.
+// Run waits for a slot and sends the work to one server. The error is a *refusal.Refusal
+// or the error of the sink.
 func (l *LocalDispatcher) Run(ctx context.Context, w *Work, sink Sink) error {
 	svc := l.Catalog.Service(w.Service)
 	if svc == nil {
 		return refusal.New(refusal.CodeNotFound, "service %q is not known here", w.Service)
 	}
-	if server, refused, ok := l.pinned(w); ok {
+	if server, refused, ok := l.pinnedServer(w); ok {
 		if refused != nil {
 			return refused
 		}
 		return l.resume(ctx, w, server, sink)
 	}
-	if !l.serves(svc) {
+	if !l.hasServer(svc) {
 		return noServer(w.Service)
 	}
 	submitted := time.Now()
@@ -77,7 +77,7 @@
 	return refusal.New(refusal.CodeNoServer, "no backend server of %s can take the request", name).After(noServerRetry)
 }
 
-func (l *LocalDispatcher) serves(svc *service.Service) bool {
+func (l *LocalDispatcher) hasServer(svc *service.Service) bool {
 	for _, e := range l.Servers.Entries(svc.Name) {
 		if v := e.View(); v.Usable() && svc.AllowsVersion(v.Version) {
 			return true
@@ -86,7 +86,7 @@
 	return false
 }
 
-// weight is the account's share in the queue.
+// weight is the account's weight in the queue.
 func (l *LocalDispatcher) weight(account string) float64 {
 	if a := l.Catalog.Account(account); a != nil {
 		return a.Rate
@@ -94,8 +94,8 @@
 	return 0
 }
 
-// placed is work that has its server.
-type placed struct {
+// placement is the server chosen for work, with the state needed to run it there.
+type placement struct {
 	service *service.Service
 	entry   *servers.Entry
 	server  servers.Server
@@ -104,52 +104,52 @@
 	prompt  int // tokens to compute
 }
 
-// place chooses the server. A suspected request waits for one without other
-// suspects; what became known of it while it waited counts.
-func (l *LocalDispatcher) place(ctx context.Context, w *Work, svc *service.Service) (*placed, *refusal.Refusal) {
-	fingerprint := w.identity()
+// place chooses the server. A suspect request waits for a server without other suspects.
+// Crash reports that arrive while it waits are taken into account.
+func (l *LocalDispatcher) place(ctx context.Context, w *Work, svc *service.Service) (*placement, *refusal.Refusal) {
+	fingerprint := w.quarantineKey()
 	request := l.request(w, svc)
-	settled, judged := false, false
+	delayed, crashChecked := false, false
 	for {
 		now := time.Now()
 		if until, refused := l.Quarantine.Quarantined(fingerprint, now); refused {
 			return nil, quarantined(until)
 		}
 		if !l.Quarantine.Suspected(fingerprint, now) {
-			if !judged {
-				judged = true
-				l.awaitJudgement(ctx, w)
+			if !crashChecked {
+				crashChecked = true
+				l.awaitCrashCheck(ctx, w)
 				continue
 			}
-			request.Exclude = excluding(nil, w.tried)
-			p, refused := l.put(w, request, fingerprint, false, now)
+			request.Exclude = excluding(nil, w.triedServers)
+			p, refused := l.reserveServer(w, request, fingerprint, false, now)
 			if p == nil && refused == nil {
-				continue // a copy was faster: this one goes where it went
+				continue // a copy was placed first: this one goes to the same server
 			}
 			if p != nil && l.Quarantine.Suspected(fingerprint, now) {
-				// A copy crashed its server since the question above, and that server was
-				// passed over for it: this one would crash the next.
+				// A copy crashed its server after the check above, so that server was not
+				// chosen. This request would crash the next one.
 				l.Isolation.End(p.run)
 				continue
 			}
 			return p, refused
 		}
 		if w.Hop == 0 && !w.designated {
-			// It was not suspected when the front chose this instance. Run here,
-			// it would be one more that crashes a server at the same moment.
+			// It was not suspect when Front chose this instance. If it ran here, it
+			// could crash one more server at the same moment.
 			return nil, noServer(w.Service)
 		}
-		if !settled {
-			settled = true
-			if !pause(ctx, suspectPause) {
+		if !delayed {
+			delayed = true
+			if !sleep(ctx, suspectDelay) {
 				return nil, refusal.New(refusal.CodeDeadline, "the request ended while it waited")
 			}
 			continue
 		}
 		busy, alone, changed := l.Isolation.Busy(fingerprint)
-		request.Exclude = excluding(busy, w.tried)
+		request.Exclude = excluding(busy, w.triedServers)
 		if alone {
-			if p, _ := l.put(w, request, fingerprint, true, now); p != nil {
+			if p, _ := l.reserveServer(w, request, fingerprint, true, now); p != nil {
 				return p, nil
 			}
 		}
@@ -161,20 +161,20 @@
 	}
 }
 
-// awaitJudgement waits, for a request that a server failed while a copy of it was there,
-// until it is known whether the copy crashed the server. A copy that comes a moment after
-// the crash finds nothing that listens, and would go on to crash the next server before
-// the first copy's instance has asked what became of the server.
-func (l *LocalDispatcher) awaitJudgement(ctx context.Context, w *Work) {
-	_, _, changed := l.Isolation.Busy(w.identity())
-	if beside := l.Isolation.ServerOf(w.identity()); beside == "" || !slices.Contains(w.tried, beside) {
+// awaitCrashCheck waits until it is known whether a copy crashed the server, if that
+// server failed this request while the copy was running there. A copy that arrives a
+// moment after the crash finds its connection refused, and would go on to crash the next
+// server before the first copy's instance has checked the server.
+func (l *LocalDispatcher) awaitCrashCheck(ctx context.Context, w *Work) {
+	_, _, changed := l.Isolation.Busy(w.quarantineKey())
+	if copyServer := l.Isolation.ServerOf(w.quarantineKey()); copyServer == "" || !slices.Contains(w.triedServers, copyServer) {
 		return
 	}
 	timer := time.NewTimer(probeTimeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
-	case <-timer.C: // the copy goes on running: the server lives
+	case <-timer.C: // the copy is still running, so the server is alive
 	case <-ctx.Done():
 	}
 }
@@ -201,93 +201,93 @@
 	return r
 }
 
-func (l *LocalDispatcher) put(w *Work, request *routing.Request, fingerprint string, suspect bool, now time.Time) (*placed, *refusal.Refusal) {
-	entry, elsewhere := l.choose(w, request, fingerprint, now)
-	if entry == nil && !suspect && len(w.tried) > 0 {
-		request.Exclude = nil // every server failed it once
-		entry, elsewhere = l.choose(w, request, fingerprint, now)
+func (l *LocalDispatcher) reserveServer(w *Work, request *routing.Request, fingerprint string, suspect bool, now time.Time) (*placement, *refusal.Refusal) {
+	entry, copyElsewhere := l.choose(w, request, fingerprint, now)
+	if entry == nil && !suspect && len(w.triedServers) > 0 {
+		request.Exclude = nil // every server has failed it once
+		entry, copyElsewhere = l.choose(w, request, fingerprint, now)
 	}
 	if entry == nil {
 		return nil, noServer(w.Service)
 	}
 	server := entry.Copy()
-	run, ok := l.Isolation.Begin(fingerprint, server.ID, suspect, elsewhere)
+	run, ok := l.Isolation.Begin(fingerprint, server.ID, suspect, copyElsewhere)
 	if !ok {
 		return nil, nil
 	}
-	return &placed{
+	return &placement{
 		service: request.Service, entry: entry, server: server, request: request, run: run,
 		prompt: request.UncachedTokens(entry),
 	}, nil
 }
 
-// choose returns the server that runs a copy of the work, or the best one, or
-// nil. elsewhere tells that a copy's server cannot take it.
-func (l *LocalDispatcher) choose(w *Work, request *routing.Request, fingerprint string, now time.Time) (entry *servers.Entry, elsewhere bool) {
+// choose returns the server that runs a copy of the work, else the best one, or nil.
+// copyElsewhere reports that the server of a copy cannot accept the work.
+func (l *LocalDispatcher) choose(w *Work, request *routing.Request, fingerprint string, now time.Time) (entry *servers.Entry, copyElsewhere bool) {
 	list := l.Servers.Entries(w.Service)
-	if beside := l.Isolation.ServerOf(fingerprint); beside != "" {
-		e := l.Servers.Entry(w.Service, beside)
+	if copyServer := l.Isolation.ServerOf(fingerprint); copyServer != "" {
+		e := l.Servers.Entry(w.Service, copyServer)
 		if e != nil && e.InFlight() < e.Limit() && routing.Permitted(request, e, now) {
 			return e, false
 		}
-		elsewhere = true
+		copyElsewhere = true
 	}
 	i := routing.ChooseServer(request, list, now, newRand())
 	if i < 0 {
-		return nil, elsewhere
+		return nil, copyElsewhere
 	}
-	return list[i], elsewhere
+	return list[i], copyElsewhere
 }
 
 func newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// dispatch runs the work on its server and takes in what that showed.
-func (l *LocalDispatcher) dispatch(ctx context.Context, w *Work, p *placed, sink Sink) error {
+// dispatch runs the work on its server and records the outcome.
+func (l *LocalDispatcher) dispatch(ctx context.Context, w *Work, p *placement, sink Sink) error {
 	bulk := w.Class == service.ClassBulk
-	var m *measured
-	m = newMeasured(sink, p, func() { l.sample(p, m, bulk) })
+	var m *latencySink
+	m = newLatencySink(sink, p, func() { l.recordFirstToken(p, m, bulk) })
 	p.entry.Begin(p.prompt, bulk)
 	if w.Generation != nil {
-		l.Prefixes.dispatched(w, p.entry.Slot())
+		l.Prefixes.recordDispatch(w, p.entry.Slot())
 	}
 	err := l.send(ctx, w, p, m)
-	m.begin()
+	m.endPrefill()
 	p.entry.End(bulk)
-	l.observe(ctx, w, p, m, err)
+	l.recordOutcome(ctx, w, p, m, err)
 	return err
 }
 
-// sample tells the server's limit how long the first token took. It does so at
-// the first token and not at the end: a limit that learned from whole answers
-// stayed at its start for as long as they run, and callers queued for a minute
-// and more before a server with room for all of them.
-func (l *LocalDispatcher) sample(p *placed, m *measured, bulk bool) {
+// recordFirstToken adds the time to the first token to the samples of the server's
+// limiter. It does so at the first token and not at the end: a limit that learned from
+// complete answers stayed at its initial value while long answers ran, and callers queued
+// for over a minute although the server had free slots for all of them.
+func (l *LocalDispatcher) recordFirstToken(p *placement, m *latencySink, bulk bool) {
 	now := time.Now()
-	l.Admission.answered(p.entry, p.service, admission.Sample{
-		Bulk: bulk, Latency: m.latency, Expected: m.alone, InFlight: p.entry.InFlight(), BulkInFlight: p.entry.Bulk(),
+	l.Admission.addSample(p.entry, p.service, admission.Sample{
+		Bulk: bulk, Latency: m.latency, Expected: m.unloaded, InFlight: p.entry.InFlight(), BulkInFlight: p.entry.Bulk(),
 	}, now)
 	l.Admission.Refresh(p.service, now)
 }
 
-func (l *LocalDispatcher) send(ctx context.Context, w *Work, p *placed, sink Sink) error {
+func (l *LocalDispatcher) send(ctx context.Context, w *Work, p *placement, sink Sink) error {
 	if w.Generation != nil {
 		return l.generate(ctx, w, p.server, sink)
 	}
 	return l.operate(ctx, w, p.server, sink)
 }
 
-func (l *LocalDispatcher) observe(ctx context.Context, w *Work, p *placed, m *measured, err error) {
+func (l *LocalDispatcher) recordOutcome(ctx context.Context, w *Work, p *placement, m *latencySink, err error) {
 	now := time.Now()
 	switch {
 	case err == nil:
 		duration := now.Sub(m.sent)
 		routing.RecordResponse(p.entry, m.latency, m.expected, duration)
 	case ctx.Err() == nil && refusal.From(err).Code == refusal.CodeBackendFailed:
-		l.Admission.answered(p.entry, p.service, admission.Sample{Failed: true}, now)
+		l.Admission.addSample(p.entry, p.service, admission.Sample{Failed: true}, now)
 		routing.RecordFailure(l.Servers, p.entry, now)
-		w.tried = append(w.tried, p.server.ID)
+		w.triedServers = append(w.triedServers, p.server.ID)
 	}
 }
 
--- a/transport/dispatch/measure.go
+++ b/transport/dispatch/measure.go
@@ -7,59 +7,60 @@
 	"github.com/basilroute/basilroute/protocol/frame"
 )
 
-// minExpected bounds the expected time to the first token from below: against
-// less than this a delay of the network would look like a slow server.
-const minExpected = 20 * time.Millisecond
+// minExpectedFirstToken is the minimum expected time to the first token. Below it, a
+// network delay would look like a slow server.
+const minExpectedFirstToken = 20 * time.Millisecond
 
-// measured watches for the first token of an answer.
-type measured struct {
+// latencySink measures the time to the first token of an answer.
+type latencySink struct {
 	Sink
-	placed   *placed
-	sent     time.Time
-	alone    time.Duration // expected time to the first token with nothing ahead
-	expected time.Duration // the same with what was ahead; 0 when not known
-	latency  time.Duration
-	begun    bool
-	started  func() // called with the first part of the answer
+	placement    *placement
+	sent         time.Time
+	unloaded     time.Duration // expected time to the first token on an idle server
+	expected     time.Duration // the same under the load at dispatch; 0 if unknown
+	latency      time.Duration
+	prefillEnded bool
+	onFirst      func() // called with the first output of the answer
 }
 
-func newMeasured(sink Sink, p *placed, started func()) *measured {
+func newLatencySink(sink Sink, p *placement, started func()) *latencySink {
 	now := time.Now()
-	m := &measured{Sink: sink, placed: p, sent: now, started: started}
+	m := &latencySink{Sink: sink, placement: p, sent: now, onFirst: started}
 	if p.request.PromptTokens > 0 {
-		m.alone = max(routing.UnloadedFirstToken(p.request, p.entry), minExpected)
-		m.expected = max(routing.ExpectedFirstToken(p.request, p.entry, now), minExpected)
+		m.unloaded = max(routing.UnloadedFirstToken(p.request, p.entry), minExpectedFirstToken)
+		m.expected = max(routing.ExpectedFirstToken(p.request, p.entry, now), minExpectedFirstToken)
 	}
 	return m
 }
 
-// begin notes the first token, or that none will come. Only the first call counts.
-func (m *measured) begin() {
-	if m.begun {
+// endPrefill records the end of prefill, at the first token or when none will arrive. Only
+// the first call has an effect.
+func (m *latencySink) endPrefill() {
+	if m.prefillEnded {
 		return
 	}
-	m.begun = true
+	m.prefillEnded = true
 	m.latency = time.Since(m.sent)
-	m.placed.entry.EndPrefill(m.placed.prompt)
+	m.placement.entry.EndPrefill(m.placement.prompt)
 }
 
-// first notes the first part of the answer.
-func (m *measured) first() {
-	if m.begun {
+// recordFirst records the first output of the answer.
+func (m *latencySink) recordFirst() {
+	if m.prefillEnded {
 		return
 	}
-	m.begin()
-	m.started()
+	m.endPrefill()
+	m.onFirst()
 }
 
 // Frame implements Sink.
-func (m *measured) Frame(server string, f *frame.Frame) error {
-	m.first()
+func (m *latencySink) Frame(server string, f *frame.Frame) error {
+	m.recordFirst()
 	return m.Sink.Frame(server, f)
 }
 
 // Answer implements Sink.
-func (m *measured) Answer(server string, body []byte) error {
-	m.first()
+func (m *latencySink) Answer(server string, body []byte) error {
+	m.recordFirst()
 	return m.Sink.Answer(server, body)
 }
--- a/transport/dispatch/operate.go
+++ b/transport/dispatch/operate.go
@@ -9,9 +9,9 @@
 	"github.com/basilroute/basilroute/transport/claim"
 )
 
-// operate runs an operation on one server. One that may not be repeated and
-// carries an idempotency key is claimed first, here and not where the caller
-// is served, so that a request refused on its way costs the store no write.
+// operate runs an operation on one server. A non-repeatable operation with an idempotency
+// key is claimed first. The claim is made here and not at the instance that the caller is
+// connected to, so that a request refused on the way costs the store no write.
 func (l *LocalDispatcher) operate(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
 	held, err := l.claim(ctx, w)
 	if err != nil {
@@ -22,18 +22,18 @@
 		IdempotencyKey: w.Operation.IdempotencyKey, Body: w.Operation.Body,
 	})
 	if held != nil {
-		held.Finish(runOf(err))
+		held.Finish(runState(err))
 	}
 	if err != nil {
-		l.failed(ctx, w, server, err)
+		l.connectionFailed(ctx, w, server, err)
 		return err
 	}
 	return sink.Answer(server.ID, answer)
 }
 
-// claim returns nil when the operation needs no claim: it may be repeated, or
-// its caller sent no key. Without a key it is dispatched once, but the caller
-// who sends it again asks for another run.
+// claim returns nil if the operation needs no claim, because it may be repeated or its
+// caller sent no key. Without a key it is dispatched once, but a caller that sends it
+// again requests another run.
 func (l *LocalDispatcher) claim(ctx context.Context, w *Work) (*claim.Handle, error) {
 	svc := l.Catalog.Service(w.Service)
 	if w.Operation.IdempotencyKey == "" || l.Claims == nil || (svc != nil && w.Repeatable(svc)) {
@@ -45,7 +45,7 @@
 	})
 }
 
-func runOf(err error) refusal.Run {
+func runState(err error) refusal.Run {
 	if err == nil {
 		return refusal.Ran
 	}
--- a/transport/dispatch/poison_test.go
+++ b/transport/dispatch/poison_test.go
@@ -11,10 +11,10 @@
 	"github.com/basilroute/basilroute/state/servers"
 )
 
-// Two copies of a request come to one instance. The first crashes its server; the second
-// finds that nothing listens there and looks for another server while the instance still
-// asks what became of the first one. It has to wait for the answer: placed at once, it
-// would crash a second server, and each instance would add one more for every copy.
+// Two copies of a request arrive at one instance. The first crashes its server; the second
+// is refused the connection and looks for another server while the instance is still
+// checking the first one. It has to wait for the result: placed at once, it would crash a
+// second server, and each copy would crash one more at each instance.
 func TestCopyWaitsForTheJudgementOfTheOneBeside(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := servers.New()
@@ -28,19 +28,19 @@
 			Isolation: quarantine.NewIsolation(), Prefixes: NewPrefixIndexes("viti-levu"),
 		}
 		svc := &service.Service{Name: "ledger", Operations: map[string]service.Operation{"order": {Cost: 1}}}
-		first, second := order(time.Second), order(time.Second)
-		run, ok := l.Isolation.Begin(first.identity(), "s1", false, false)
+		first, second := orderWork(time.Second), orderWork(time.Second)
+		run, ok := l.Isolation.Begin(first.quarantineKey(), "s1", false, false)
 		if !ok {
 			t.Fatal("the first copy is not placed")
 		}
-		second.tried = []string{"s1"}
+		second.triedServers = []string{"s1"}
 		go func() {
 			time.Sleep(probeTimeout / 2)
-			l.Quarantine.RecordCrash(first.identity(), "s1", "boot", time.Now())
+			l.Quarantine.RecordCrash(first.quarantineKey(), "s1", "boot", time.Now())
 			l.Isolation.End(run)
 		}()
 		if p, _ := l.place(t.Context(), second, svc); p != nil {
-			t.Errorf("placed on %s before the first copy was judged", p.server.ID)
+			t.Errorf("placed on %s before the crash check of the first copy's server", p.server.ID)
 		}
 	})
 }
--- a/transport/dispatch/prefixes.go
+++ b/transport/dispatch/prefixes.go
@@ -7,8 +7,8 @@
 	"github.com/basilroute/basilroute/protocol/tokens"
 )
 
-// PrefixIndexes holds the prefix index of each service in the own failure domain. It
-// is safe for concurrent use.
+// PrefixIndexes holds the prefix index of each service in the local failure domain. It is
+// safe for concurrent use.
 type PrefixIndexes struct {
 	region string
 
@@ -16,12 +16,12 @@
 	indexes map[string]*prefix.Index
 }
 
-// NewPrefixIndexes returns indexes of servers in a region.
+// NewPrefixIndexes returns the indexes for servers in a region.
 func NewPrefixIndexes(region string) *PrefixIndexes {
 	return &PrefixIndexes{region: region, indexes: make(map[string]*prefix.Index)}
 }
 
-// Index returns the index of a service.
+// Index returns the index of a service. It is created on first use.
 func (p *PrefixIndexes) Index(service string) *prefix.Index {
 	p.mu.RLock()
 	x := p.indexes[service]
@@ -37,17 +37,17 @@
 	return p.indexes[service]
 }
 
-func blocksOf(prompt string) []tokens.Block {
+func promptBlocks(prompt string) []tokens.Block {
 	const longest = prefix.MaxBlocks * tokens.BlockBytes
 	return tokens.AppendBlocks(nil, prompt[:min(len(prompt), longest)])
 }
 
 func (p *PrefixIndexes) match(w *Work) (int, *prefix.Matches) {
 	matches := &prefix.Matches{}
-	p.Index(w.Service).Match(blocksOf(w.Generation.Prompt), w.Home, matches)
+	p.Index(w.Service).Match(promptBlocks(w.Generation.Prompt), w.Home, matches)
 	return tokens.Estimate(w.Generation.Prompt), matches
 }
 
-func (p *PrefixIndexes) dispatched(w *Work, slot int) {
-	p.Index(w.Service).RecordDispatch(slot, w.Home, blocksOf(w.Generation.Prompt))
+func (p *PrefixIndexes) recordDispatch(w *Work, slot int) {
+	p.Index(w.Service).RecordDispatch(slot, w.Home, promptBlocks(w.Generation.Prompt))
 }
--- a/transport/dispatch/resume_test.go
+++ b/transport/dispatch/resume_test.go
@@ -14,8 +14,8 @@
 
 const answerFrames = 8
 
-// fakePeers is a failure domain with one engine, reached through peers whose
-// links break after some frames.
+// fakePeers is a failure domain with one engine, reached through peers whose links break
+// after some frames.
 type fakePeers struct {
 	breakAfter map[string]int // frames until the link to a peer breaks; -1 for never
 	asked      []string
@@ -78,11 +78,11 @@
 	return &Work{RequestID: "r", Attempt: 1, Hop: 1, Generation: &Generation{Prompt: "p", MaxTokens: answerFrames}}
 }
 
-// The link to the forwarding peer breaks under a stream, also more than once.
-// The caller gets each frame once and in order: the rest comes through another
-// peer from the same engine. The generation is started once, and it is cancelled
-// when the caller's answer cannot be made whole. Before the first frame nothing
-// is resumed, since the first instance may start again on any engine.
+// The link to the forwarding peer breaks during a stream, possibly more than once. The
+// caller gets each frame once and in order: the rest comes through another peer from the
+// same engine. The generation is started once, and is cancelled if the answer cannot be
+// completed. Before the first frame nothing is resumed, since the first instance can
+// restart on any engine.
 func TestBrokenForwardIsResumedOnItsEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := &fakePeers{breakAfter: make(map[string]int)}
@@ -108,8 +108,8 @@
 	})
 }
 
-// The peer that forwards dies in the middle of a stream; another peer of its
-// failure domain is there. The caller gets the whole answer.
+// The forwarding peer fails in the middle of a stream and another peer of its failure
+// domain is available. The caller gets the complete answer.
 func TestDeadPeerIsReplaced(t *testing.T) {
 	peers := &fakePeers{breakAfter: map[string]int{"a": 3, "b": -1}}
 	sink := &textSink{}
@@ -121,8 +121,8 @@
 	}
 }
 
-// The caller itself goes away: nothing is resumed and the engine is told.
-func TestGoneCallerIsNotResumed(t *testing.T) {
+// The caller disconnects: nothing is resumed and the generation is cancelled.
+func TestNoResumeAfterCallerDisconnects(t *testing.T) {
 	peers := &fakePeers{breakAfter: map[string]int{"a": -1}}
 	sink := &textSink{err: refusal.New(refusal.CodePeerUnreachable, "the caller went away")}
 	if err := newResumer(peers).Forward(t.Context(), "a", streamWork(), sink); err == nil {
--- a/transport/dispatch/sample_test.go
+++ b/transport/dispatch/sample_test.go
@@ -12,11 +12,12 @@
 	"github.com/basilroute/basilroute/state/servers"
 )
 
-// Twelve callers open long streams on one idle engine. All of them see their
-// first token while all streams still run: the engine's limit starts at four and
-// rises with every first token. When it rose with whole answers only, the fifth
-// caller waited until a stream ended, or was refused before an idle engine.
-func TestLimitRisesWhileStreamsRun(t *testing.T) {
+// Twelve callers open long streams on one idle engine. The limit of the engine starts at
+// four and rises with every first token, so all callers get their first token while all
+// streams are running. Guards against a limit that rises only when answers complete: the
+// fifth caller then waited until a stream ended, or was refused although the engine was
+// idle.
+func TestLimitRisesDuringStreams(t *testing.T) {
 	const callers, endless = 12, 1 << 20
 	l, _, _ := localEngine(t)
 	document, err := service.Parse("", []byte("kind: service\nname: lm\ntype: model\nclasses: {interactive: {max_wait: 20s}}\n"))
@@ -31,7 +32,7 @@
 	defer running.Wait()
 	defer stop()
 	for n := range callers {
-		sink := newCollected()
+		sink := newCollectingSink()
 		ended := make(chan error, 1)
 		w := localWork(fmt.Sprintf("r%d", n), endless)
 		w.MaxWait, w.Deadline = 20*time.Second, time.Now().Add(time.Hour)
--- a/transport/dispatch/stream.go
+++ b/transport/dispatch/stream.go
@@ -16,16 +16,16 @@
 const (
 	priorityBulk   = 10
 	cancelDeadline = 2 * time.Second
-	resumeLimit    = 3 // times a broken stream is resumed on its engine
+	maxResumes     = 3 // times an interrupted stream is resumed on its engine
 	resumeBackoff  = 50 * time.Millisecond
 )
 
-// ErrDetached is the cause of a context that ended because the connection to
-// the first instance broke. The generation goes on: the first instance may
-// resume it through another peer, and cancels it itself when it gives up.
+// ErrDetached is the cause of a context that ended because the connection to the first
+// instance broke. The generation continues: the first instance may resume it through
+// another peer, and cancels it if it does not.
 var ErrDetached = errors.New("the connection to the first instance broke")
 
-// generate streams from one engine and resumes there when the connection breaks.
+// generate streams from one engine and resumes on it when the connection breaks.
 func (l *LocalDispatcher) generate(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
 	generation := backend.Generation{
 		RequestID: w.RequestID, Attempt: w.Attempt, Account: w.Account, Version: server.Version,
@@ -45,20 +45,21 @@
 		}
 		broken := refusal.From(err)
 		if ctx.Err() != nil || broken.Code != refusal.CodeBackendFailed {
-			l.giveUp(ctx, server, w)
+			l.cancelUnlessResumable(ctx, server, w)
 			return err
 		}
-		if next == 0 || resumed >= resumeLimit || !pause(ctx, resumeBackoff) {
-			l.failed(ctx, w, server, err)
-			l.giveUp(ctx, server, w)
+		if next == 0 || resumed >= maxResumes || !sleep(ctx, resumeBackoff) {
+			l.connectionFailed(ctx, w, server, err)
+			l.cancelUnlessResumable(ctx, server, w)
 			return err
 		}
 	}
 }
 
-// giveUp cancels the generation unless the first instance may resume it through
-// another peer: the connection to it broke, or this instance is made to stop.
-func (l *LocalDispatcher) giveUp(ctx context.Context, server servers.Server, w *Work) {
+// cancelUnlessResumable cancels the generation unless the first instance may resume it
+// through another peer, because the connection to it broke or this instance is shutting
+// down.
+func (l *LocalDispatcher) cancelUnlessResumable(ctx context.Context, server servers.Server, w *Work) {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, ErrDetached) {
 		return
@@ -72,18 +73,18 @@
 func (l *LocalDispatcher) cancel(server servers.Server, requestID string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelDeadline)
 	defer cancel()
-	_ = l.Backend.Cancel(ctx, server.Address, requestID) // the engine ends the generation by itself at its limit
+	_ = l.Backend.Cancel(ctx, server.Address, requestID) // otherwise the generation ends at its token limit
 }
 
-// Cancel ends a generation that runs on a server of the own failure domain.
+// Cancel cancels a generation that runs on a server of the local failure domain.
 func (l *LocalDispatcher) Cancel(serviceName, serverID, requestID string) {
 	if server, ok := l.Servers.Find(serviceName, serverID); ok {
 		l.cancel(server, requestID)
 	}
 }
 
-// resume goes on with a generation where it runs. It passes the queue, because
-// the generation holds its place on the engine already.
+// resume resumes a generation on the server that runs it. It bypasses the queue, because
+// the generation already occupies a slot on the engine.
 func (l *LocalDispatcher) resume(ctx context.Context, w *Work, server servers.Server, sink Sink) error {
 	if entry := l.Servers.Entry(w.Service, server.ID); entry != nil {
 		entry.Begin(0, w.Class == service.ClassBulk)
@@ -92,8 +93,8 @@
 	return l.generate(ctx, w, server, sink)
 }
 
-// pinned returns the server on which the work has to be resumed, if it names one.
-func (l *LocalDispatcher) pinned(w *Work) (server servers.Server, refused *refusal.Refusal, ok bool) {
+// pinnedServer returns the server on which the work has to be resumed, if it names one.
+func (l *LocalDispatcher) pinnedServer(w *Work) (server servers.Server, refused *refusal.Refusal, ok bool) {
 	if w.Generation == nil || w.Generation.Server == "" {
 		return servers.Server{}, nil, false
 	}
--- a/transport/dispatch/stream_test.go
+++ b/transport/dispatch/stream_test.go
@@ -20,7 +20,7 @@
 
 const localPrompt = "which lacquers may cross a border"
 
-// localEngine is a Local with one engine.
+// localEngine returns a LocalDispatcher with one engine.
 func localEngine(t *testing.T) (*LocalDispatcher, servers.Server, *engine.Engine) {
 	e := engine.New(engine.DefaultConfig())
 	handler, err := e.Handler()
@@ -40,8 +40,8 @@
 	return &Work{RequestID: id, Attempt: 1, Service: "lm", Class: service.ClassInteractive, Generation: &Generation{Prompt: localPrompt, MaxTokens: tokens}}
 }
 
-// collected is a sink that signals its first frame.
-type collected struct {
+// collectingSink collects an answer and signals its first frame.
+type collectingSink struct {
 	mu    sync.Mutex
 	text  strings.Builder
 	last  frame.Frame
@@ -49,9 +49,9 @@
 	once  sync.Once
 }
 
-func newCollected() *collected { return &collected{first: make(chan struct{})} }
+func newCollectingSink() *collectingSink { return &collectingSink{first: make(chan struct{})} }
 
-func (c *collected) Frame(_ string, f *frame.Frame) error {
+func (c *collectingSink) Frame(_ string, f *frame.Frame) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.text.WriteString(f.Text)
@@ -60,14 +60,15 @@
 	return nil
 }
 
-func (c *collected) Answer(string, []byte) error { return nil }
+func (c *collectingSink) Answer(string, []byte) error { return nil }
 
-// An engine's connection is cut several times, its frames come twice and crossed
-// with another's. The caller gets the whole text once, from one generation.
+// An engine's connection is cut several times; its frames are duplicated and interleaved
+// with those of another generation. The caller gets the complete text once, from one
+// generation.
 func TestCutStreamIsResumedOnItsEngine(t *testing.T) {
 	l, server, e := localEngine(t)
 	e.SetFaults(engine.Faults{CutAfter: 5, MaxCuts: 3, RepeatFrames: true, ForeignFrames: true})
-	sink := newCollected()
+	sink := newCollectingSink()
 	const tokens = 40
 	if err := l.generate(t.Context(), localWork("r", tokens), server, sink); err != nil {
 		t.Fatal(err)
@@ -84,32 +85,32 @@
 	}
 }
 
-// The engine's connection stays cut after some frames: the caller is told that
-// the answer broke, never that it is whole.
+// The engine's connection stays cut after some frames: the caller gets an error, never an
+// answer that looks complete.
 func TestStreamThatStaysCutIsAnError(t *testing.T) {
 	l, server, e := localEngine(t)
 	e.SetFaults(engine.Faults{CutAfter: 1, MaxCuts: 100})
-	sink := newCollected()
+	sink := newCollectingSink()
 	err := l.generate(t.Context(), localWork("r", 40), server, sink)
 	if got := refusal.From(err); err == nil || got.Run != refusal.Unknown || sink.last.Finish != "" {
 		t.Errorf("ended with %v after %+v", err, sink.last)
 	}
 }
 
-// A caller goes away in the middle of a stream: when generate returns the engine
-// has been told. When only the link to the first instance broke, the generation
-// goes on and can be resumed from the next frame, also through another instance.
+// A caller disconnects in the middle of a stream: the engine has been told to cancel when
+// generate returns. If only the link to the first instance broke, the generation continues
+// and can be resumed from the next frame, also through another instance.
 func TestCancelReachesTheEngine(t *testing.T) {
 	l, server, e := localEngine(t)
-	run := func(id string, cause error) *collected {
+	run := func(id string, cause error) *collectingSink {
 		ctx, cancel := context.WithCancelCause(t.Context())
-		sink := newCollected()
+		sink := newCollectingSink()
 		ended := make(chan error, 1)
 		go func() { ended <- l.generate(ctx, localWork(id, 4000), server, sink) }()
 		<-sink.first
 		cancel(cause)
 		if err := <-ended; err == nil {
-			t.Errorf("%s ended as whole", id)
+			t.Errorf("%s ended without an error", id)
 		}
 		return sink
 	}
@@ -121,7 +122,7 @@
 	if n := e.Stats().Cancelled; n != 1 {
 		t.Fatal("a detached generation was cancelled")
 	}
-	rest := newCollected()
+	rest := newCollectingSink()
 	again := localWork("detached", 4000)
 	again.Generation.FromSeq, again.Generation.Server = cut.last.Seq+1, "e"
 	ctx, cancel := context.WithCancel(t.Context())
@@ -135,16 +136,16 @@
 	<-ended
 }
 
-// A resumed generation goes to its own engine or nowhere.
+// A resumed generation runs on its own engine or fails.
 func TestResumeNeedsItsEngine(t *testing.T) {
 	l, _, _ := localEngine(t)
 	w := localWork("r", 4)
 	w.Generation.Server = "e"
-	if server, refused, ok := l.pinned(w); !ok || refused != nil || server.ID != "e" {
+	if server, refused, ok := l.pinnedServer(w); !ok || refused != nil || server.ID != "e" {
 		t.Errorf("%v %v %v", server, refused, ok)
 	}
 	w.Generation.Server = "another"
-	if _, refused, ok := l.pinned(w); !ok || refused == nil || refused.Run != refusal.Ran {
+	if _, refused, ok := l.pinnedServer(w); !ok || refused == nil || refused.Run != refusal.Ran {
 		t.Errorf("%v %v", refused, ok)
 	}
 }
--- a/transport/dispatch/work.go
+++ b/transport/dispatch/work.go
@@ -1,6 +1,6 @@
-// Package dispatch carries a request from the instance that the caller talks to
-// to a backend server: Front decides and retries, Local runs a request in the
-// instance's own failure domain, and a Forwarder reaches other domains.
+// Package dispatch carries a request from the instance that the caller is connected to to
+// a backend server. Front routes and retries, LocalDispatcher runs a request in the local
+// failure domain, and a Forwarder reaches other domains.
 package dispatch
 
 import (
@@ -13,26 +13,26 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// Work is one request on its way.
+// Work is one request to be run.
 type Work struct {
 	RequestID string
 	Attempt   int
-	Hop       int // 0 at the instance that the caller talks to
+	Hop       int // 0 at the instance that the caller is connected to
 	Account   string
 	KeyID     string
-	Home      string // region the account's data must stay in; anywhere when empty
+	Home      string // region the account's data must stay in; any region if empty
 	Service   string
 	Class     service.Class
 	Deadline  time.Time
-	MaxWait   time.Duration // in queues
+	MaxWait   time.Duration // maximum time in queues
 	Via       string
 
-	ConfigRevision int64    // of the first instance, on forwarded work
-	tried          []string // servers of the own domain that failed this request
-	fingerprint    string   // set by identity
-	designated     bool     // this instance is the one that runs the suspect
+	ConfigRevision int64    // revision at the first instance, on forwarded work
+	triedServers   []string // servers of the local domain that failed this request
+	fingerprint    string   // set by quarantineKey
+	designated     bool     // this instance was chosen to run the suspect request
 
-	Generation *Generation // exactly one of the two is set
+	Generation *Generation // exactly one of Generation and Operation is set
 	Operation  *Operation
 }
 
@@ -41,36 +41,36 @@
 	Prompt    string
 	MaxTokens int
 	FromSeq   int64  // first frame wanted
-	Server    string // where to resume; empty for a new generation
+	Server    string // server to resume on; empty for a new generation
 }
 
 // Operation is work for a plain service.
 type Operation struct {
 	Name           string
 	Body           []byte
-	IdempotencyKey string // as the caller sent it; empty for none
+	IdempotencyKey string // as sent by the caller; empty for none
 }
 
-// Sink takes an answer. Frames come in order and once each.
+// Sink receives an answer. Frames arrive in order and exactly once.
 type Sink interface {
 	Frame(server string, f *frame.Frame) error
 	Answer(server string, body []byte) error
 }
 
-// Restarter is a sink that may still hold all that it took. Restart drops it, so
-// that another server can answer from the beginning, or returns false when some
+// Restarter is a sink that may still buffer everything it received. Restart discards the
+// buffer, so that another server can answer from the beginning, or returns false if part
 // of it has reached the caller.
 type Restarter interface {
 	Restart() bool
 }
 
-// Forwarder runs work on a peer's failure domain.
+// Forwarder runs work in a peer's failure domain.
 type Forwarder interface {
 	Forward(ctx context.Context, address string, w *Work, sink Sink) error
 }
 
-// Cost returns the most tokens that the work can use, and for a plain
-// operation its fixed price.
+// Cost returns the maximum number of tokens that the work can use, or the fixed price of a
+// plain operation.
 func (w *Work) Cost(s *service.Service) float64 {
 	if w.Generation != nil {
 		return float64(tokens.Estimate(w.Generation.Prompt) + w.Generation.MaxTokens)
@@ -78,8 +78,8 @@
 	return float64(s.Operations[w.Operation.Name].Cost)
 }
 
-// Repeatable tells whether the work may run twice. A generation may as long as
-// none of it has reached the caller.
+// Repeatable reports whether the work may run twice. A generation may, as long as none of
+// it has reached the caller.
 func (w *Work) Repeatable(s *service.Service) bool {
 	if w.Generation != nil {
 		return true
@@ -87,15 +87,16 @@
 	return s.Operations[w.Operation.Name].Repeatable
 }
 
-// identity returns what identifies the work in the quarantine. It is worked out once.
-func (w *Work) identity() string {
+// quarantineKey returns the fingerprint that identifies the work in the quarantine. It is
+// computed once.
+func (w *Work) quarantineKey() string {
 	if w.fingerprint == "" {
 		w.fingerprint = quarantine.Fingerprint(w.Account, w.Service, w.body())
 	}
 	return w.fingerprint
 }
 
-// body is what the work's fingerprint covers.
+// body returns the content that the work's fingerprint covers.
 func (w *Work) body() string {
 	if w.Generation != nil {
 		return w.Generation.Prompt
