--- a/transport/httproute/choose.go
+++ b/transport/httproute/choose.go
@@ -11,52 +11,53 @@
 	"github.com/basilroute/basilroute/state/routes"
 )
 
-// choose places the request: on a server of the own region that answers within the
-// objective; else in another region that does; else late in the own, or in another.
+// choose places the request on a server of the local region that responds within the
+// objective, else in another region that does, else on a late server of the local region,
+// else in another region.
 func (f *Front) choose(r *request, now time.Time) (placement.Choice, *Remote, *failure) {
 	homes, anywhere := routes.AllowedRegions(r.route, r.account)
 	pool := f.Local.Pool(r.service)
-	here := (anywhere || slices.Contains(homes, f.Region)) && !slices.Contains(r.tried, f.Region)
-	var own placement.Choice
-	own.Reason = placement.ReasonNoServer
-	if here {
-		if remote := f.early(r, pool, homes, anywhere, now); remote != nil {
+	localAllowed := (anywhere || slices.Contains(homes, f.Region)) && !slices.Contains(r.triedRegions, f.Region)
+	var local placement.Choice
+	local.Reason = placement.ReasonNoServer
+	if localAllowed {
+		if remote := f.spillTarget(r, pool, homes, anywhere, now); remote != nil {
 			return placement.Choice{}, remote, nil
 		}
-		r.work.RemoteSource = f.farSource(r, pool, homes, anywhere)
+		r.work.RemoteSource = f.remoteFetchSource(r, pool, homes, anywhere)
 		r.work.RejectIfLate = true
-		if own = pool.Place(&r.work, now); own.Placement != nil {
-			return own, nil, nil
+		if local = pool.Place(&r.work, now); local.Placement != nil {
+			return local, nil, nil
 		}
 	}
-	remote := f.bestRemote(r, r.tried, homes, anywhere)
+	remote := f.bestRemote(r, r.triedRegions, homes, anywhere)
 	left := r.work.Objective - now.Sub(r.arrived)
-	if remote != nil && (r.work.Objective == 0 || remote.arrives() <= left || own.Reason == placement.ReasonNoServer) {
+	if remote != nil && (r.work.Objective == 0 || remote.firstByteTime() <= left || local.Reason == placement.ReasonNoServer) {
 		return placement.Choice{}, remote, nil
 	}
-	if here && own.Reason != placement.ReasonNoServer {
+	if localAllowed && local.Reason != placement.ReasonNoServer {
 		r.work.RejectIfLate = false
-		if own = pool.Place(&r.work, now); own.Placement != nil {
-			return own, nil, nil
+		if local = pool.Place(&r.work, now); local.Placement != nil {
+			return local, nil, nil
 		}
 	}
-	f.noteUnplaced(r, here, own, remote)
-	return placement.Choice{}, nil, refusalOf(own)
+	f.recordUnplaced(r, localAllowed, local, remote)
+	return placement.Choice{}, nil, refusalOf(local)
 }
 
-// noteUnplaced keeps why a request went nowhere: what the best server here and the best
-// other region would have taken.
-func (f *Front) noteUnplaced(r *request, here bool, own placement.Choice, remote *Remote) {
-	attrs := []any{"here", here, "reason", string(own.Reason), "expected_ms", own.ExpectedFirstByte.Milliseconds(),
-		"running", own.Running, "backlog", own.BacklogTokens}
+// recordUnplaced records why a request was not placed: the expected times of the best
+// local server and of the best other region.
+func (f *Front) recordUnplaced(r *request, localAllowed bool, local placement.Choice, remote *Remote) {
+	attrs := []any{"here", localAllowed, "reason", string(local.Reason), "expected_ms", local.ExpectedFirstByte.Milliseconds(),
+		"running", local.Running, "backlog", local.BacklogTokens}
 	if remote != nil {
-		attrs = append(attrs, "region", remote.Region, "region_expected_ms", remote.arrives().Milliseconds())
+		attrs = append(attrs, "region", remote.Region, "region_expected_ms", remote.firstByteTime().Milliseconds())
 	}
-	r.note(eventUnplaced, attrs...)
+	r.record(eventUnplaced, attrs...)
 }
 
 func refusalOf(c placement.Choice) *failure {
-	f := &failure{run: notRun, retryAfter: c.RetryAfter}
+	f := &failure{run: runNotRun, retryAfter: c.RetryAfter}
 	switch c.Reason {
 	case placement.ReasonCold:
 		f.reason = reasonCold
@@ -68,12 +69,12 @@
 	return f
 }
 
-// arrives is the expected time to the first byte by way of the region.
-func (r *Remote) arrives() time.Duration { return r.RoundTrip + r.ExpectedFirstByte }
+// firstByteTime returns the expected time to the first byte through the region.
+func (r *Remote) firstByteTime() time.Duration { return r.RoundTrip + r.ExpectedFirstByte }
 
-// early returns the region that a request should leave for although the own one may
-// still take it, or nil. A repeat stays: it has cost time already.
-func (f *Front) early(r *request, pool *placement.Pool, homes []string, anywhere bool, now time.Time) *Remote {
+// spillTarget returns the region to which a request should spill although the local region
+// may still accept it, or nil. A retry does not spill, because it has already lost time.
+func (f *Front) spillTarget(r *request, pool *placement.Pool, homes []string, anywhere bool, now time.Time) *Remote {
 	if r.tries > 1 {
 		return nil
 	}
@@ -81,45 +82,47 @@
 	if !f.Features.On(features.SpillByOccupancy) {
 		running = 0
 	}
-	own := spill.Occupancy{Running: running, Slots: slots, StallFraction: pool.StallFraction(now)}
-	if !own.ShouldSpill() {
+	local := spill.Occupancy{Running: running, Slots: slots, StallFraction: pool.StallFraction(now)}
+	if !local.ShouldSpill() {
 		return nil
 	}
-	remotes := f.permitted(r, nil, homes, anywhere)
+	remotes := f.permittedRemotes(r, nil, homes, anywhere)
 	regions := make([]spill.Region, len(remotes))
 	for i := range remotes {
 		o := &remotes[i]
 		regions[i] = spill.Region{
-			Occupancy: spill.Occupancy{Running: float64(o.Running), Slots: float64(o.Running + o.FreeSlots), StallFraction: o.StallFraction}, ExpectedFirstByte: o.arrives(),
+			Occupancy: spill.Occupancy{Running: float64(o.Running), Slots: float64(o.Running + o.FreeSlots), StallFraction: o.StallFraction}, ExpectedFirstByte: o.firstByteTime(),
 		}
 	}
-	chosen := spill.ChooseRegion(own, regions, r.work.Objective-now.Sub(r.arrived), rand.Float64())
+	chosen := spill.ChooseRegion(local, regions, r.work.Objective-now.Sub(r.arrived), rand.Float64())
 	if chosen < 0 {
 		return nil
 	}
 	return &remotes[chosen]
 }
 
-// farSource returns a server of another region that may hold the request's shared parts:
-// of the permitted region at whose servers most requests run, since it has read most.
-func (f *Front) farSource(r *request, pool *placement.Pool, homes []string, anywhere bool) placement.FetchSource {
+// remoteFetchSource returns a server of another region that may have the request's shared
+// prompt segments cached. It takes the permitted region with the most running requests,
+// whose servers have prefilled the most.
+func (f *Front) remoteFetchSource(r *request, pool *placement.Pool, homes []string, anywhere bool) placement.FetchSource {
 	if len(r.work.Segments) < 2 {
 		return placement.FetchSource{}
 	}
-	most := -1
+	maxRunning := -1
 	region := ""
 	for _, o := range f.Remotes.Remotes(r.service) {
 		allowed := anywhere || slices.Contains(homes, o.Region)
-		if allowed && o.Servers > 0 && o.Running > most {
-			region, most = o.Region, o.Running
+		if allowed && o.Servers > 0 && o.Running > maxRunning {
+			region, maxRunning = o.Region, o.Running
 		}
 	}
 	return pool.RemoteFetchSource(&r.work, region)
 }
 
-// holder returns the server here that a region to which the request is forwarded may fetch
-// shared parts from; none where the request's homes leave out the own region.
-func (f *Front) holder(r *request, now time.Time) placement.FetchSource {
+// localFetchSource returns the local server from which the region that a request is
+// forwarded to may fetch shared prompt segments, or none if the request's home regions
+// exclude the local one.
+func (f *Front) localFetchSource(r *request, now time.Time) placement.FetchSource {
 	homes, anywhere := routes.AllowedRegions(r.route, r.account)
 	if !anywhere && !slices.Contains(homes, f.Region) {
 		return placement.FetchSource{}
@@ -127,21 +130,22 @@
 	return f.Local.Pool(r.service).LocalFetchSource(&r.work, now)
 }
 
-// bestRemote returns the permitted region that should answer first, or nil.
+// bestRemote returns the permitted region with the lowest expected time to the first byte,
+// or nil.
 func (f *Front) bestRemote(r *request, tried, homes []string, anywhere bool) *Remote {
 	var best *Remote
-	list := f.permitted(r, tried, homes, anywhere)
+	list := f.permittedRemotes(r, tried, homes, anywhere)
 	for i := range list {
-		if best == nil || list[i].arrives() < best.arrives() {
+		if best == nil || list[i].firstByteTime() < best.firstByteTime() {
 			best = &list[i]
 		}
 	}
 	return best
 }
 
-// permitted returns the other regions that may run the request and have servers, with
-// what this region sent there since they spoke.
-func (f *Front) permitted(r *request, tried, homes []string, anywhere bool) []Remote {
+// permittedRemotes returns the other regions that may run the request and have servers,
+// adjusted by the load that this region sent there since their last reports.
+func (f *Front) permittedRemotes(r *request, tried, homes []string, anywhere bool) []Remote {
 	_, instances := f.Remotes.InstanceCounts()
 	var out []Remote
 	for _, o := range f.Remotes.Remotes(r.service) {
@@ -149,7 +153,7 @@
 		if !allowed || o.Servers == 0 || slices.Contains(tried, o.Region) {
 			continue
 		}
-		f.sent.correct(&o, r.service, instances)
+		f.sent.adjust(&o, r.service, instances)
 		o.ExpectedFirstByte += placement.ExtraPrefillTime(&r.work)
 		out = append(out, o)
 	}
--- a/transport/httproute/choose_test.go
+++ b/transport/httproute/choose_test.go
@@ -10,19 +10,20 @@
 	"github.com/basilroute/basilroute/state/routes"
 )
 
-// regions are other regions, each with one instance.
-type regions []Remote
+// fakeRemotes is a set of other regions, each with one instance.
+type fakeRemotes []Remote
 
-func (regions) MarkUnreachable(string)                {}
-func (r regions) Remotes(string) []Remote             { return r }
-func (r regions) InstanceCounts() (fleet, region int) { return len(r) + 1, 1 }
+func (fakeRemotes) MarkUnreachable(string)                {}
+func (r fakeRemotes) Remotes(string) []Remote             { return r }
+func (r fakeRemotes) InstanceCounts() (fleet, region int) { return len(r) + 1, 1 }
 
-// A prompt may be read, cached and stored in its homes only. The busiest region is none of
-// them; its server would be asked for the prompt's shared parts and, where the own region is
-// none, the own servers' memory would go to another one.
+// A prompt may be processed, cached and stored only in its home regions. The busiest
+// region is not one of them. Guards against fetching shared segments from its server and,
+// if the local region is not a home either, against naming a local server as the fetch
+// source.
 func TestSharedPartsAreFetchedFromHomesOnly(t *testing.T) {
-	f, _ := gatewayOver(t)
-	f.Remotes = regions{{Region: "away", Servers: 2, Running: 90}, {Region: "home", Servers: 2, Running: 10}}
+	f, _ := newTestFront(t)
+	f.Remotes = fakeRemotes{{Region: "away", Servers: 2, Running: 90}, {Region: "home", Servers: 2, Running: 10}}
 	pool := f.Local.Pool("svc")
 	server := func(id string) []backends.Entry {
 		return []backends.Entry{{Server: backends.Server{ID: id, Address: id + ":1", Slots: 8}, Incarnation: 1}}
@@ -49,20 +50,20 @@
 	} {
 		r.route.HomeRegions = c.homes
 		homes, anywhere := routes.AllowedRegions(r.route, nil)
-		if got := f.farSource(r, pool, homes, anywhere).Address; got != c.source {
+		if got := f.remoteFetchSource(r, pool, homes, anywhere).Address; got != c.source {
 			t.Errorf("homes %v: fetches from %q, want %q", c.homes, got, c.source)
 		}
-		if got := f.holder(r, now).Address; got != c.holder {
+		if got := f.localFetchSource(r, now).Address; got != c.holder {
 			t.Errorf("homes %v: names %q as the holder, want %q", c.homes, got, c.holder)
 		}
 	}
 }
 
-// A region's slots are nearly full beside an idle region: the request leaves, and it stays
-// when an operator has switched that off.
-func TestLeavingByRoomIsSwitchedOff(t *testing.T) {
-	f, _ := gatewayOver(t)
-	f.Remotes = regions{{Region: "idle", Servers: 1, FreeSlots: 100}}
+// The local region's slots are nearly full and another region is idle: the request spills,
+// but it stays when an operator has switched spilling by occupancy off.
+func TestSpillByOccupancyCanBeSwitchedOff(t *testing.T) {
+	f, _ := newTestFront(t)
+	f.Remotes = fakeRemotes{{Region: "idle", Servers: 1, FreeSlots: 100}}
 	pool := f.Local.Pool("svc")
 	pool.Update(placement.Settings{Engine: true, Slots: 8}, []backends.Entry{{Server: backends.Server{ID: "own", Slots: 8}, Incarnation: 1}})
 	now := time.Now()
@@ -73,11 +74,11 @@
 			t.Fatal("not placed")
 		}
 	}
-	if f.early(r, pool, nil, true, now) == nil {
-		t.Error("stays in a full region beside an idle one")
+	if f.spillTarget(r, pool, nil, true, now) == nil {
+		t.Error("no spill from a full region to an idle one")
 	}
 	f.Features = features.NewSet(map[features.Name]bool{features.SpillByOccupancy: false})
-	if f.early(r, pool, nil, true, now) != nil {
-		t.Error("leaves although leaving by room is off")
+	if f.spillTarget(r, pool, nil, true, now) != nil {
+		t.Error("spills although spilling by occupancy is off")
 	}
 }
--- a/transport/httproute/codec.go
+++ b/transport/httproute/codec.go
@@ -1,10 +1,10 @@
-// Package httproute serves HTTP routes: it takes the requests of callers, brings
-// each to a backend server of its route's service, here or through one peer in
-// another region, and hands the answer back unchanged.
+// Package httproute serves HTTP routes. It accepts the requests of callers, sends each to
+// a backend server of its route's service, in the local region or through one peer in
+// another region, and returns the response unchanged.
 //
-// Bodies are opaque. What the decisions need beside the route (who calls, how long
-// they wait, what the prompt shares with others) comes out of headers, by the Codec
-// of the deployment.
+// Bodies are opaque. Everything that routing decisions need besides the route (the caller,
+// its timeout, the prompt segments shared with other requests) comes from headers, decoded
+// by the Codec of the deployment.
 package httproute
 
 import (
@@ -14,59 +14,60 @@
 	"github.com/basilroute/basilroute/coordination/placement"
 )
 
-// Call is what a caller's headers say of a request.
+// Call is what a caller's headers say about a request.
 type Call struct {
-	RequestID    string
-	Key          string        // empty when none was presented
-	Timeout      time.Duration // how long the caller waits; 0 when not said
-	HasTokens    bool
-	PromptTokens int
-	OutputTokens int // at most
-	Segments     []placement.PromptSegment
-	LastEventID  string
+	RequestID     string
+	Key           string        // empty if none was sent
+	CallerTimeout time.Duration // how long the caller waits; 0 if not specified
+	HasTokens     bool
+	PromptTokens  int
+	OutputTokens  int // upper bound
+	Segments      []placement.PromptSegment
+	LastEventID   string
 }
 
-// Tokens returns what the request counts against its account's rate.
+// Tokens returns the number of tokens that the request counts against its account's rate.
 func (c *Call) Tokens() int { return c.PromptTokens + c.OutputTokens }
 
-// Outbound is what a request to a backend server says beside what its caller said.
+// Outbound is what a request to a backend server carries in addition to the caller's
+// headers.
 type Outbound struct {
-	Server      string        // id that the server has to have; another one does not run it
-	Account     string        // empty when the request has none
-	Timeout     time.Duration // how long the server may work
-	Urgency     int           // 0 is the most urgent; below 0 leaves it to the server
-	LastEventID string        // resume after this event; empty to begin
-	FetchFrom   string        // address of a server to fetch cached parts from; may be empty
+	Server      string        // id of the server; a server with another id does not run the request
+	Account     string        // empty if the request has none
+	Timeout     time.Duration // how long the server may work on the request
+	Urgency     int           // 0 is the most urgent; negative for the server's default
+	LastEventID string        // resume after this event; empty to start from the beginning
+	FetchFrom   string        // address of a server to fetch cached prompt segments from; may be empty
 }
 
-// ResponseMeta is what a backend server's headers say beside its answer.
+// ResponseMeta is what a backend server's headers say about its response.
 type ResponseMeta struct {
 	RequestID   string
 	NotRun      bool // the server did not run the request and never will
-	Misdirected bool // another server has the address now
-	Stamped     bool // the answer bears the server's proof
+	Misdirected bool // another server now has the address
+	Stamped     bool // the response carries the server's proof
 	Load        *placement.ReportedLoad
 }
 
-// Codec translates the headers of a deployment. It decides nothing.
+// Codec translates the headers of a deployment. It makes no decisions.
 type Codec interface {
-	// DecodeCall reads a caller's headers.
+	// DecodeCall decodes a caller's headers.
 	DecodeCall(h http.Header) Call
-	// Outbound turns a caller's headers into those for a backend server: without the
-	// key and without what callers may not set.
+	// Outbound converts a caller's headers into those for a backend server. It removes the
+	// key and headers that callers may not set.
 	Outbound(h http.Header, o Outbound) http.Header
-	// DecodeResponse reads a backend server's headers.
+	// DecodeResponse decodes a backend server's response headers.
 	DecodeResponse(status int, h http.Header) ResponseMeta
 }
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1). Expect has been
-// met when the body was read.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1). Expect is
+// included because it is satisfied once the body has been read.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "Host",
 }
 
-// EndToEnd returns a copy without the headers that concern one connection.
+// EndToEnd returns a copy without hop-by-hop headers.
 func EndToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h)+8)
 	for name, values := range h {
@@ -77,7 +78,7 @@
 			delete(out, http.CanonicalHeaderKey(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(out, name)
 	}
 	return out
--- a/transport/httproute/events.go
+++ b/transport/httproute/events.go
@@ -6,37 +6,39 @@
 	"strings"
 )
 
-// maxEvent bounds an event that is not yet complete, in bytes: far above any token's.
+// maxEvent bounds an incomplete event, in bytes. It is far above the size of any event
+// with a token.
 const maxEvent = 1 << 20
 
-// events cuts a stream of server-sent events behind whole events. A server that
-// crashes leaves half an event; handed on, it would run into the first event of the
-// server that goes on.
-type events struct {
+// eventBuffer splits a stream of server-sent events after complete events. A server that
+// crashes leaves an incomplete event, which would run into the first event of the server
+// that resumes the stream if it were passed on.
+type eventBuffer struct {
 	partial []byte
-	lastID  string // of the last whole event that had one
+	lastID  string // of the last complete event that had one
 	count   int
 }
 
-// take returns the whole events among what is held and what is new. The result is
-// valid until the next call.
-func (e *events) take(b []byte) []byte {
+// push appends b and returns the complete events in the buffer. The result is valid until
+// the next call.
+func (e *eventBuffer) push(b []byte) []byte {
 	e.partial = append(e.partial, b...)
 	end := lastBoundary(e.partial)
-	whole := e.partial[:end]
-	e.note(whole)
-	return whole
+	complete := e.partial[:end]
+	e.recordIDs(complete)
+	return complete
 }
 
-// drop forgets the whole events that were taken.
-func (e *events) drop(whole []byte) {
-	e.partial = append(e.partial[:0], e.partial[len(whole):]...)
+// consume removes complete events that push returned.
+func (e *eventBuffer) consume(complete []byte) {
+	e.partial = append(e.partial[:0], e.partial[len(complete):]...)
 }
 
-// reset forgets the half event of a server that broke off.
-func (e *events) reset() { e.partial = e.partial[:0] }
+// reset discards the incomplete event of an aborted response.
+func (e *eventBuffer) reset() { e.partial = e.partial[:0] }
 
-// lastBoundary returns where the last whole event ends: behind an empty line.
+// lastBoundary returns the offset at which the last complete event ends, which is after an
+// empty line.
 func lastBoundary(b []byte) int {
 	end := 0
 	if at := bytes.LastIndex(b, []byte("\n\n")); at >= 0 {
@@ -48,8 +50,8 @@
 	return end
 }
 
-func (e *events) note(whole []byte) {
-	for line := range bytes.Lines(whole) {
+func (e *eventBuffer) recordIDs(complete []byte) {
+	for line := range bytes.Lines(complete) {
 		line = bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			e.lastID = string(bytes.TrimPrefix(id, []byte(" ")))
@@ -58,9 +60,10 @@
 	}
 }
 
-// firstID returns the id of the first event in whole events, empty when it has none.
-func firstID(whole []byte) string {
-	for line := range bytes.Lines(whole) {
+// firstID returns the id of the first event in complete events, or an empty string if it
+// has none.
+func firstID(complete []byte) string {
+	for line := range bytes.Lines(complete) {
 		if id, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:")); ok {
 			return string(bytes.TrimPrefix(id, []byte(" ")))
 		}
@@ -68,9 +71,9 @@
 	return ""
 }
 
-// follows tells whether an event id comes right after another. Ids that are no
-// numbers cannot be told.
-func follows(id, last string) bool {
+// isNextID reports whether an event id directly follows another. It returns true if the
+// last id is not a number, since their order is then unknown.
+func isNextID(id, last string) bool {
 	before, err := strconv.ParseInt(last, 10, 64)
 	if err != nil {
 		return true
--- a/transport/httproute/failure.go
+++ b/transport/httproute/failure.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// run says whether a request ran at a backend server.
-type run string
+// runState says whether a request ran on a backend server.
+type runState string
 
 const (
-	notRun  run = "not_run" // and never will
-	unknown run = "unknown" // it may have run, or may yet
-	hasRun  run = "ran"
+	runNotRun  runState = "not_run" // and never will run
+	runUnknown runState = "unknown" // may have run, or may still run
+	runRan     runState = "ran"
 )
 
 // reason says why a request was not served.
@@ -23,42 +23,42 @@
 const (
 	reasonNotReady    reason = "not_ready"      // no configuration is in force yet
 	reasonNoRoute     reason = "no_route"       // no route matches
-	reasonKey         reason = "unknown_key"    // no account holds the key
-	reasonBody        reason = "body_too_large" // beyond the limit in force
+	reasonKey         reason = "unknown_key"    // no account has the key
+	reasonBody        reason = "body_too_large" // above the limit in force
 	reasonHeader      reason = "header_too_large"
-	reasonQuota       reason = "quota"       // the account is at its rate
+	reasonQuota       reason = "quota"       // the account has reached its rate
 	reasonQuarantine  reason = "quarantined" // it crashed the servers that ran it
 	reasonNoServer    reason = "no_server"   // no usable server in a permitted region
 	reasonLoad        reason = "overloaded"  // it cannot be served in time
-	reasonCold        reason = "cold"        // cold servers take few requests
-	reasonStopping    reason = "stopping"    // this instance stops
-	reasonShed        reason = "shed"        // the server refused it
+	reasonCold        reason = "cold"        // cold servers accept few requests
+	reasonStopping    reason = "stopping"    // this instance is shutting down
+	reasonShed        reason = "shed"        // the server rejected it
 	reasonUnreachable reason = "unreachable" // nothing was sent: no connection
-	reasonBroken      reason = "broken"      // the connection ended without an answer
-	reasonSilent      reason = "silent"      // the server said nothing for too long
-	reasonMalformed   reason = "malformed"   // what came back is no answer
-	reasonDeadline    reason = "deadline"    // out of time
-	reasonPeer        reason = "peer"        // the peer could not be reached or gave up
+	reasonBroken      reason = "broken"      // the connection closed before the response was complete
+	reasonSilent      reason = "silent"      // the server exceeded the idle timeout
+	reasonMalformed   reason = "malformed"   // the data received is not a valid response
+	reasonDeadline    reason = "deadline"    // the deadline passed
+	reasonPeer        reason = "peer"        // the peer was unreachable or its response failed
 )
 
-// failure is an attempt, or a whole request, without an answer.
+// failure describes an attempt, or a whole request, that got no response.
 type failure struct {
-	run        run
-	reason     reason
-	retryAfter time.Duration // 0 when not known
-	sent       bool          // it reached a backend server
-	remote     bool          // the word of another region's instance
-	begun      bool          // the caller has the beginning of an answer
-	server     string
-	cause      error
+	run             runState
+	reason          reason
+	retryAfter      time.Duration // 0 if unknown
+	sent            bool          // it reached a backend server
+	remote          bool          // reported by an instance of another region
+	responseStarted bool          // the caller has received part of the response
+	server          string
+	cause           error
 }
 
 func (f *failure) Error() string {
 	return fmt.Sprintf("%s (%s)", f.reason, f.run)
 }
 
-// status returns the status for the caller. 429 and 503 promise that the request
-// has not run and never will; everything that may have run gets 502 or 504.
+// status returns the HTTP status for the caller. 429 and 503 guarantee that the request
+// has not run and never will; every request that may have run gets 502 or 504.
 func (f *failure) status() int {
 	switch f.reason {
 	case reasonNoRoute:
@@ -73,7 +73,7 @@
 		return http.StatusTooManyRequests
 	}
 	switch {
-	case f.run == notRun:
+	case f.run == runNotRun:
 		return http.StatusServiceUnavailable
 	case f.reason == reasonDeadline:
 		return http.StatusGatewayTimeout
@@ -82,17 +82,17 @@
 }
 
 const (
-	// leastRetryAfter is the least time to come back, so that a refused caller does
-	// not find the same load.
-	leastRetryAfter = 50 * time.Millisecond
-	// defaultRetryAfter is for refusals without a known time.
+	// minRetryAfter is the minimum Retry-After. A caller that retried sooner would meet
+	// the same load.
+	minRetryAfter = 50 * time.Millisecond
+	// defaultRetryAfter is used for refusals without a known retry time.
 	defaultRetryAfter = 500 * time.Millisecond
-	// retrySpread is the part by which times to come back differ between callers:
-	// refused together, they would otherwise come back together.
-	retrySpread = 0.5
+	// retryJitter is the fraction by which Retry-After is randomly extended. Callers that
+	// are refused at the same time would otherwise retry at the same time.
+	retryJitter = 0.5
 )
 
-// refuse writes the final answer for a request that was not served.
+// refuse writes the final response for a request that was not served.
 func refuse(w http.ResponseWriter, f *failure) {
 	status := f.status()
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
@@ -102,14 +102,14 @@
 	text := string(f.reason) + "\n"
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(text)) // a caller that has gone needs no answer
+	_, _ = w.Write([]byte(text)) // a write error means that the caller has disconnected
 }
 
 func retryAfter(d time.Duration) string {
 	if d <= 0 {
 		d = defaultRetryAfter
 	}
-	d = max(d, leastRetryAfter)
-	spread := 1 + retrySpread*rand.Float64()
+	d = max(d, minRetryAfter)
+	spread := 1 + retryJitter*rand.Float64()
 	return strconv.FormatFloat(d.Seconds()*spread, 'f', 3, 64)
 }
--- a/transport/httproute/forward.go
+++ b/transport/httproute/forward.go
@@ -15,103 +15,105 @@
 	"github.com/basilroute/basilroute/transport/backendhttp"
 )
 
-// Headers between instances. A forwarded request makes one hop: the instance that
-// takes it sends it to a server of its own region or says why not.
+// Headers between instances. A forwarded request makes one hop: the receiving instance
+// sends it to a server of its region or reports why it did not.
 const (
-	headerForward = "Basilroute-Forward" // a forwarded, in JSON
-	headerRequest = "Basilroute-Request" // id of the request that an answer belongs to
-	headerServer  = "Basilroute-Server"  // that answered
-	headerFailure = "Basilroute-Failure" // a refused, in JSON; the answer is no server's
+	headerForward = "Basilroute-Forward" // a forwardInfo in JSON
+	headerRequest = "Basilroute-Request" // id of the request that a response belongs to
+	headerServer  = "Basilroute-Server"  // server that responded
+	headerFailure = "Basilroute-Failure" // a forwardFailure in JSON; the response comes from no server
 )
 
-// forwarded is what the first instance says of a request.
-type forwarded struct {
+// forwardInfo is what the first instance sends with a forwarded request.
+type forwardInfo struct {
 	Service     string `json:"service"`
 	Account     string `json:"account,omitempty"`
 	Urgency     int    `json:"urgency"`
-	LeftMs      int64  `json:"left_ms"`      // until its deadline
-	ObjectiveMs int64  `json:"objective_ms"` // left of its objective; 0 for none
+	LeftMs      int64  `json:"left_ms"`      // time until the deadline
+	ObjectiveMs int64  `json:"objective_ms"` // remaining time of the objective; 0 for none
 	Repeatable  bool   `json:"repeatable"`
 	Last        bool   `json:"last"`     // no other attempt may follow
-	Detached    bool   `json:"detached"` // runs to its end when the caller has gone
-	Print       string `json:"print"`
+	Detached    bool   `json:"detached"` // runs to completion after the caller has disconnected
+	Fingerprint string `json:"print"`
 	LastEventID string `json:"last_event_id,omitempty"`
 	Config      int64  `json:"config"`
-	// HolderAddress is of a server of the first region that holds HolderTokens of the prompt.
+	// HolderAddress is the address of a server of the first region that has HolderTokens
+	// of the prompt cached.
 	HolderAddress string `json:"holder_address,omitempty"`
 	HolderTokens  int    `json:"holder_tokens,omitempty"`
 }
 
-// refused is a failure on its way to the first instance.
-type refused struct {
-	Run          run    `json:"run"`
-	Reason       reason `json:"reason"`
-	Sent         bool   `json:"sent"`
-	Server       string `json:"server,omitempty"`
-	RetryAfterMs int64  `json:"retry_after_ms"`
+// forwardFailure is a failure as sent to the first instance.
+type forwardFailure struct {
+	Run          runState `json:"run"`
+	Reason       reason   `json:"reason"`
+	Sent         bool     `json:"sent"`
+	Server       string   `json:"server,omitempty"`
+	RetryAfterMs int64    `json:"retry_after_ms"`
 }
 
-// forward sends the request to a peer of another region and reads the answer's head.
+// forward sends the request to a peer of another region and reads the head of the
+// response.
 func (f *Front) forward(ctx context.Context, r *request, o *outbound, remote *Remote) (*reply, *failure) {
 	now := time.Now()
-	holder := f.holder(r, now)
-	note, err := json.Marshal(forwarded{
+	holder := f.localFetchSource(r, now)
+	encoded, err := json.Marshal(forwardInfo{
 		HolderAddress: holder.Address, HolderTokens: holder.Tokens,
 		Service: o.service, Account: o.account, Urgency: o.work.Urgency, LeftMs: o.deadline.Sub(now).Milliseconds(),
 		ObjectiveMs: max(r.work.Objective-now.Sub(r.arrived), 0).Milliseconds(), Repeatable: o.repeatable,
-		Detached: r.route.Kind == routes.KindNonIdempotent, Print: o.print, LastEventID: o.lastEventID, Config: o.config,
+		Detached: r.route.Kind == routes.KindNonIdempotent, Fingerprint: o.print, LastEventID: o.lastEventID, Config: o.config,
 	})
 	if err != nil {
-		return nil, &failure{run: notRun, reason: reasonPeer, cause: err}
+		return nil, &failure{run: runNotRun, reason: reasonPeer, cause: err}
 	}
 	header := f.Codec.Outbound(o.header, Outbound{Account: o.account, Timeout: o.deadline.Sub(now), Urgency: -1, LastEventID: o.lastEventID})
-	header.Set(headerForward, string(note))
-	silence := o.silence(remote.ExpectedFirstByte, now)
-	if silence > 0 {
-		silence += remote.RoundTrip
+	header.Set(headerForward, string(encoded))
+	idleTimeout := o.idleTimeout(remote.ExpectedFirstByte, now)
+	if idleTimeout > 0 {
+		idleTimeout += remote.RoundTrip
 	}
-	answer, err := f.Peers.Do(ctx, remote.Address, &backendhttp.Request{
+	response, err := f.Peers.Do(ctx, remote.Address, &backendhttp.Request{
 		Method: o.method, Target: o.target, Host: o.host, Header: header, Body: o.body,
 	}, backendhttp.Options{
-		FreshConn: !o.repeatable, IdleTimeout: silence, ShouldAbort: o.giveUp,
+		FreshConn: !o.repeatable, IdleTimeout: idleTimeout, ShouldAbort: o.shouldAbort,
 		MatchResponse: func(resp *http.Response) bool { return resp.Header.Get(headerRequest) == o.id },
 	})
 	f.Metrics.forwarded(o.service)
 	if err != nil {
-		return nil, f.peerFailed(ctx, o, remote, err)
+		return nil, f.forwardFailed(ctx, o, remote, err)
 	}
-	if note := answer.Header.Get(headerFailure); note != "" {
-		return nil, refusedBy(answer, note, remote)
+	if encodedFailure := response.Header.Get(headerFailure); encodedFailure != "" {
+		return nil, decodeForwardFailure(response, encodedFailure, remote)
 	}
-	rep := &reply{
-		Response: answer, verdict: f.Codec.DecodeResponse(answer.Status, answer.Header),
-		server: answer.Header.Get(headerServer), ended: func(placement.Outcome) {},
+	out := &reply{
+		Response: response, meta: f.Codec.DecodeResponse(response.Status, response.Header),
+		server: response.Header.Get(headerServer), onEnd: func(placement.Outcome) {},
 	}
-	delete(answer.Header, headerRequest)
-	delete(answer.Header, headerServer)
-	return rep, nil
+	delete(response.Header, headerRequest)
+	delete(response.Header, headerServer)
+	return out, nil
 }
 
-// refusedBy reads why a peer did not serve the request.
-func refusedBy(answer *backendhttp.Response, note string, remote *Remote) *failure {
-	_, _ = io.Copy(io.Discard, answer) // the end of the answer; a broken one is not used again
-	answer.Close()
-	var said refused
-	if err := json.Unmarshal([]byte(note), &said); err != nil {
-		return &failure{run: unknown, reason: reasonPeer, sent: true, cause: err}
+// decodeForwardFailure decodes why a peer did not serve the request.
+func decodeForwardFailure(resp *backendhttp.Response, encoded string, remote *Remote) *failure {
+	_, _ = io.Copy(io.Discard, resp) // an incomplete body means that the connection is not reused
+	resp.Close()
+	var decoded forwardFailure
+	if err := json.Unmarshal([]byte(encoded), &decoded); err != nil {
+		return &failure{run: runUnknown, reason: reasonPeer, sent: true, cause: err}
 	}
 	return &failure{
-		run: said.Run, reason: said.Reason, sent: said.Sent, server: remote.Instance + "/" + said.Server,
-		retryAfter: time.Duration(said.RetryAfterMs) * time.Millisecond, remote: true,
+		run: decoded.Run, reason: decoded.Reason, sent: decoded.Sent, server: remote.Instance + "/" + decoded.Server,
+		retryAfter: time.Duration(decoded.RetryAfterMs) * time.Millisecond, remote: true,
 	}
 }
 
-// peerFailed takes in that a peer gave no answer.
-func (f *Front) peerFailed(ctx context.Context, o *outbound, remote *Remote, err error) *failure {
-	failed := &failure{run: unknown, reason: reasonPeer, sent: true, server: remote.Instance, cause: err}
+// forwardFailed records that a forwarded request got no response.
+func (f *Front) forwardFailed(ctx context.Context, o *outbound, remote *Remote, err error) *failure {
+	failed := &failure{run: runUnknown, reason: reasonPeer, sent: true, server: remote.Instance, cause: err}
 	switch {
 	case errors.Is(err, backendhttp.ErrNotSent):
-		failed.run, failed.sent = notRun, false
+		failed.run, failed.sent = runNotRun, false
 	case errors.Is(err, backendhttp.ErrIdleTimeout):
 		failed.reason = reasonSilent
 	}
@@ -126,7 +128,7 @@
 	return failed
 }
 
-// Peer takes the requests that other instances forward.
+// Peer serves the requests that other instances forward.
 type Peer struct {
 	Codec    Codec
 	Local    *LocalDispatcher
@@ -137,18 +139,18 @@
 // ServeHTTP implements http.Handler.
 func (p *Peer) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	arrived := time.Now()
-	var said forwarded
-	if err := json.Unmarshal([]byte(hr.Header.Get(headerForward)), &said); err != nil {
+	var info forwardInfo
+	if err := json.Unmarshal([]byte(hr.Header.Get(headerForward)), &info); err != nil {
 		http.Error(w, "not a forwarded request", http.StatusBadRequest)
 		return
 	}
 	body, err := io.ReadAll(hr.Body)
 	if err != nil {
-		panic(http.ErrAbortHandler) // the peer broke off: there is nobody to answer
+		panic(http.ErrAbortHandler) // the peer closed the connection early; no response is possible
 	}
 	call := p.Codec.DecodeCall(hr.Header)
-	o := p.outbound(hr, &said, &call, body, arrived)
-	ctx, cancel := p.lifetime(hr.Context(), &said, o.deadline)
+	o := p.outbound(hr, &info, &call, body, arrived)
+	ctx, cancel := p.requestContext(hr.Context(), &info, o.deadline)
 	defer cancel()
 	failed := p.run(ctx, w, o)
 	if failed == nil {
@@ -156,46 +158,46 @@
 	}
 	p.Local.Log.Info("forwarded_refused", "request", o.id, "service", o.service, "reason", string(failed.reason),
 		"run", string(failed.run), "server", failed.server, "sent", failed.sent)
-	note, _ := json.Marshal(refused{ // strings and numbers always encode
+	encoded, _ := json.Marshal(forwardFailure{ // strings and numbers always marshal
 		Run: failed.run, Reason: failed.reason, Sent: failed.sent, Server: failed.server, RetryAfterMs: failed.retryAfter.Milliseconds(),
 	})
 	w.Header().Set(headerRequest, o.id)
-	w.Header().Set(headerFailure, string(note))
+	w.Header().Set(headerFailure, string(encoded))
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (p *Peer) lifetime(ctx context.Context, said *forwarded, deadline time.Time) (context.Context, context.CancelFunc) {
-	if said.Detached {
+func (p *Peer) requestContext(ctx context.Context, info *forwardInfo, deadline time.Time) (context.Context, context.CancelFunc) {
+	if info.Detached {
 		ctx = context.WithoutCancel(ctx)
 	}
 	return context.WithDeadline(ctx, deadline)
 }
 
-func (p *Peer) outbound(hr *http.Request, said *forwarded, call *Call, body []byte, arrived time.Time) *outbound {
+func (p *Peer) outbound(hr *http.Request, info *forwardInfo, call *Call, body []byte, arrived time.Time) *outbound {
 	header := EndToEnd(hr.Header)
 	delete(header, headerForward)
-	deadline := arrived.Add(time.Duration(said.LeftMs) * time.Millisecond)
+	deadline := arrived.Add(time.Duration(info.LeftMs) * time.Millisecond)
 	return &outbound{
-		id: call.RequestID, service: said.Service, account: said.Account, method: hr.Method, target: hr.RequestURI,
-		host: hr.Host, header: header, body: body, deadline: deadline, repeatable: said.Repeatable, print: said.Print,
-		lastEventID: said.LastEventID, config: said.Config,
+		id: call.RequestID, service: info.Service, account: info.Account, method: hr.Method, target: hr.RequestURI,
+		host: hr.Host, header: header, body: body, deadline: deadline, repeatable: info.Repeatable, print: info.Fingerprint,
+		lastEventID: info.LastEventID, config: info.Config,
 		work: &placement.Request{
-			Segments: call.Segments, Tokens: call.PromptTokens, Urgency: said.Urgency, Probe: said.Repeatable,
-			AllowEjected: !said.Detached,
-			RemoteSource: placement.FetchSource{Address: said.HolderAddress, Tokens: said.HolderTokens},
-			Objective:    time.Duration(said.ObjectiveMs) * time.Millisecond, Arrived: arrived, Deadline: deadline,
+			Segments: call.Segments, Tokens: call.PromptTokens, Urgency: info.Urgency, Probe: info.Repeatable,
+			AllowEjected: !info.Detached,
+			RemoteSource: placement.FetchSource{Address: info.HolderAddress, Tokens: info.HolderTokens},
+			Objective:    time.Duration(info.ObjectiveMs) * time.Millisecond, Arrived: arrived, Deadline: deadline,
 		},
 	}
 }
 
-// run sends the request to a server of the own region and copies the answer.
+// run sends the request to a server of the local region and copies the response.
 func (p *Peer) run(ctx context.Context, w http.ResponseWriter, o *outbound) *failure {
 	if p.Stopping() || p.Routes.Current() == nil {
-		return &failure{run: notRun, reason: reasonStopping}
+		return &failure{run: runNotRun, reason: reasonStopping}
 	}
 	if until, bad := p.Local.Quarantine.Quarantined(o.print, time.Now()); bad {
-		return &failure{run: notRun, reason: reasonQuarantine, retryAfter: time.Until(until)}
+		return &failure{run: runNotRun, reason: reasonQuarantine, retryAfter: time.Until(until)}
 	}
 	choice := p.Local.Pool(o.service).Place(o.work, time.Now())
 	if choice.Placement == nil {
@@ -222,14 +224,15 @@
 	return nil
 }
 
-// copy hands on the answer as it comes. One that breaks off breaks this one off too.
+// copy relays the response body as it arrives. If the server aborts the response, copy
+// aborts the one to the peer too.
 func (p *Peer) copy(w http.ResponseWriter, rep *reply) {
 	control := http.NewResponseController(w)
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := rep.Read(buffer)
 		if n > 0 {
-			rep.wentOn(time.Now())
+			rep.reportProgress(time.Now())
 			_, failed := w.Write(buffer[:n])
 			if failed == nil {
 				failed = control.Flush()
--- a/transport/httproute/front.go
+++ b/transport/httproute/front.go
@@ -19,32 +19,33 @@
 	"github.com/basilroute/basilroute/transport/backendhttp"
 )
 
-// Remote is another region as this instance sees it for one service, by way of one
-// of its instances.
+// Remote is the state of another region for one service, as reported by one of its
+// instances.
 type Remote struct {
 	Region            string
 	Instance          string
-	Address           string        // where the instance takes forwarded requests
-	RoundTrip         time.Duration // there and back
+	Address           string        // where the instance accepts forwarded requests
+	RoundTrip         time.Duration // network round-trip time
 	Servers           int
 	Running           int           // requests at its servers
-	FreeSlots         int           // requests that could start there at once
-	StallFraction     float64       // part of its servers' time that does not go into running answers
-	ExpectedFirstByte time.Duration // to the first byte there, of an ordinary request
-	ReportedAt        time.Time     // when the instance last spoke
+	FreeSlots         int           // requests that could start at once
+	StallFraction     float64       // fraction of its servers' time that does not go into decoding running generations
+	ExpectedFirstByte time.Duration // in the remote region, for an ordinary request
+	ReportedAt        time.Time     // time of the last load report
 }
 
-// Remotes tells what is known of the other regions.
+// Remotes provides the known state of the other regions.
 type Remotes interface {
 	// Remotes returns one reachable instance of each other region.
 	Remotes(service string) []Remote
-	// MarkUnreachable takes in that an instance could not be reached.
+	// MarkUnreachable records that an instance could not be reached.
 	MarkUnreachable(instance string)
-	// InstanceCounts returns how many instances of the fleet and of the own region live.
+	// InstanceCounts returns the number of live instances in the fleet and in the local
+	// region.
 	InstanceCounts() (fleet, region int)
 }
 
-// Front serves callers.
+// Front serves the requests of callers.
 type Front struct {
 	Region     string
 	Codec      Codec
@@ -58,46 +59,50 @@
 	Log        *slog.Logger
 	Metrics    *Metrics
 	Features   features.Set
-	// Stopping tells whether this instance is about to end and takes nothing more.
+	// Stopping reports whether this instance is about to exit and accepts no more
+	// requests.
 	Stopping func() bool
-	// TimeToShutdown is how long this instance still runs, once it leaves; 0 before.
+	// TimeToShutdown returns how long this instance keeps running after it has started to
+	// leave; 0 before that.
 	TimeToShutdown func() time.Duration
-	// Starting tells whether this instance has started just now and may lack what it needs.
+	// Starting reports whether this instance has just started and may still lack
+	// configuration, servers or peers.
 	Starting func() bool
-	// Leaving tells whether callers are to leave their connections.
+	// Leaving reports whether callers are to close their connections.
 	Leaving func() bool
 
-	sent sentAway
+	sent sentLoad
 }
 
-// request is one request of a caller on its way.
+// request is the state of one request of a caller.
 type request struct {
 	Call
-	config    *routes.Config
-	route     *routes.Route
-	account   *routes.Account
-	service   string
-	header    http.Header // the caller's, end to end
-	method    string
-	target    string
-	host      string
-	body      []byte
-	arrived   time.Time
-	deadline  time.Time
-	print     string // fingerprint
-	work      placement.Request
-	tried     []string // regions that were tried
-	attempts  int      // sends to backend servers
-	story     []decision
-	server    string        // that answered last, here or in another region
-	firstByte time.Duration // until the head of the answer
-	pauses    pauses        // between the events of the answer
-	tries     int           // attempts, sent or not
-	paid      atomic.Bool   // the next repeat has been taken from the budget
-	mayLeave  func() bool   // see Front.mayLeave
+	config        *routes.Config
+	route         *routes.Route
+	account       *routes.Account
+	service       string
+	header        http.Header // the caller's end-to-end headers
+	method        string
+	target        string
+	host          string
+	body          []byte
+	arrived       time.Time
+	deadline      time.Time
+	print         string // fingerprint of the request
+	work          placement.Request
+	triedRegions  []string
+	sends         int // sends to backend servers
+	trace         []traceStep
+	server        string        // the server that responded last, in any region
+	firstByte     time.Duration // time until the head of the response
+	gaps          eventGaps     // between the events of the response
+	tries         int           // attempts, sent or not
+	retryReserved atomic.Bool   // the next retry has been taken from the budget
+	shouldAbort   func() bool   // see Front.abortCheck
 }
 
-// accountName returns the name of the request's account, empty when it has none.
+// accountName returns the name of the request's account, or an empty string if it has
+// none.
 func (r *request) accountName() string {
 	if r.account == nil {
 		return ""
@@ -113,7 +118,7 @@
 	}
 	r, refused := f.accept(w, hr, arrived)
 	if refused == nil && r == nil {
-		panic(http.ErrAbortHandler) // the caller has gone; returning would write an empty success
+		panic(http.ErrAbortHandler) // the caller has disconnected; returning would write an empty 200 response
 	}
 	if refused == nil {
 		refused = f.serve(w, hr, r)
@@ -121,52 +126,52 @@
 	f.finish(w, hr, r, refused, arrived)
 }
 
-// finish writes the final answer of a request that was not served, and the lines that
-// tell what became of it.
+// finish writes the final response of a request that was not served, and logs the trace of
+// the request.
 func (f *Front) finish(w http.ResponseWriter, hr *http.Request, r *request, refused *failure, arrived time.Time) {
 	took := time.Since(arrived)
-	begun := refused != nil && refused.begun
-	if refused != nil && !begun && hr.Context().Err() == nil {
+	started := refused != nil && refused.responseStarted
+	if refused != nil && !started && hr.Context().Err() == nil {
 		refuse(w, refused)
 	}
-	f.Metrics.ended(r, refused, took)
+	f.Metrics.requestEnded(r, refused, took)
 	if r == nil {
 		r = &request{Call: f.Codec.DecodeCall(hr.Header), arrived: arrived}
 	}
-	r.noteEnd(refused, hr.Context().Err() != nil, took)
-	r.tell(f.Log, refused, took)
-	if refused != nil && (begun || hr.Context().Err() != nil) {
-		// The caller has to see that the answer is not whole: the connection ends
-		// without the end of the body. Returning would write an empty success.
+	r.recordEnd(refused, hr.Context().Err() != nil, took)
+	r.logTrace(f.Log, refused, took)
+	if refused != nil && (started || hr.Context().Err() != nil) {
+		// Aborts the connection before the end of the body, so that the caller sees that
+		// the response is incomplete. Returning would write an empty 200 response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// accept reads a request and finds its route and account. Both results are nil when
-// the caller has gone.
+// accept reads a request and finds its route and account. Both results are nil if the
+// caller has disconnected.
 func (f *Front) accept(w http.ResponseWriter, hr *http.Request, arrived time.Time) (*request, *failure) {
 	config := f.awaitConfig(hr.Context())
 	if config == nil {
-		return nil, &failure{run: notRun, reason: reasonNotReady, retryAfter: retryNotReady}
+		return nil, &failure{run: runNotRun, reason: reasonNotReady, retryAfter: notReadyRetryAfter}
 	}
 	if limit := config.Limits.HeaderBytes; limit > 0 && headerBytes(hr) > limit {
-		return nil, &failure{run: notRun, reason: reasonHeader}
+		return nil, &failure{run: runNotRun, reason: reasonHeader}
 	}
 	route := config.Match(hr.Host, hr.URL.Path)
 	if route == nil {
-		return nil, &failure{run: notRun, reason: reasonNoRoute}
+		return nil, &failure{run: runNotRun, reason: reasonNoRoute}
 	}
 	r := &request{
 		Call: f.Codec.DecodeCall(hr.Header), config: config, route: route, header: EndToEnd(hr.Header),
 		method: hr.Method, target: hr.RequestURI, host: hr.Host, arrived: arrived,
 	}
-	if f.Stopping() || f.outlasts(r) {
-		return nil, &failure{run: notRun, reason: reasonStopping, retryAfter: leastRetryAfter}
+	if f.Stopping() || f.mayOutlastInstance(r) {
+		return nil, &failure{run: runNotRun, reason: reasonStopping, retryAfter: minRetryAfter}
 	}
 	r.service = route.PickService(r.RequestID)
 	if len(config.Accounts) > 0 && !route.Public {
 		if r.account = config.Authenticate(r.Key); r.account == nil {
-			return r, &failure{run: notRun, reason: reasonKey}
+			return r, &failure{run: runNotRun, reason: reasonKey}
 		}
 	}
 	var refused *failure
@@ -177,31 +182,31 @@
 		return nil, nil
 	}
 	f.prepare(r)
-	r.noteAdmitted()
+	r.recordAdmitted()
 	return r, nil
 }
 
-// A stream's end is guessed from the tokens that its caller allows, so that a leaving
-// instance takes none that would be cut by its end.
+// The duration of a stream is estimated from its maximum number of output tokens, so that
+// a leaving instance accepts no stream that its shutdown would cut off.
 const (
-	tokenTime = 15 * time.Millisecond // twice what an engine with a full batch takes
-	readTime  = time.Second           // until the first token
-	// leastStream is the shortest time in which a stream is taken at all: callers that
-	// allow few tokens may be wrong.
-	leastStream = 4500 * time.Millisecond
+	timePerToken   = 15 * time.Millisecond // twice the time that an engine with a full batch takes
+	firstTokenTime = time.Second
+	// minStreamTime is the minimum remaining time for which any stream is accepted:
+	// callers that allow few tokens may underestimate the duration.
+	minStreamTime = 4500 * time.Millisecond
 )
 
-// outlasts tells whether a stream may last longer than this instance.
-func (f *Front) outlasts(r *request) bool {
+// mayOutlastInstance reports whether a stream may last longer than this instance.
+func (f *Front) mayOutlastInstance(r *request) bool {
 	left := f.TimeToShutdown()
 	if left == 0 || r.route.Kind != routes.KindStreaming {
 		return false
 	}
-	return left < max(leastStream, readTime+time.Duration(r.OutputTokens)*tokenTime)
+	return left < max(minStreamTime, firstTokenTime+time.Duration(r.OutputTokens)*timePerToken)
 }
 
-// headerBytes returns the size of a request's header fields as they were sent. The
-// server's own limit is fixed at its start and above what operators set.
+// headerBytes returns the size of a request's header fields as they were sent. The limit
+// of the HTTP server itself is fixed at start and is above the limits that operators set.
 func headerBytes(hr *http.Request) int {
 	const separators = len(": \r\n")
 	size := len("Host") + separators + len(hr.Host)
@@ -213,8 +218,8 @@
 	return size
 }
 
-// readBody reads the whole body. net/http tells that a caller has gone only when
-// its request was read to the end.
+// readBody reads the whole body. net/http detects that a caller has disconnected only
+// after its request has been read completely.
 func readBody(w http.ResponseWriter, hr *http.Request, limit int64) ([]byte, *failure) {
 	if hr.ContentLength == 0 {
 		return nil, nil
@@ -227,25 +232,26 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &failure{run: notRun, reason: reasonBody}
+		return nil, &failure{run: runNotRun, reason: reasonBody}
 	case err != nil:
-		// The caller broke off, or its framing is wrong: there is nobody to answer.
+		// The caller closed the connection early or its framing is invalid; no response
+		// is possible.
 		panic(http.ErrAbortHandler)
 	}
 	return body, nil
 }
 
-// retryNotReady is when to come back to an instance that has just started: it reads the
-// configuration within two crossings between regions.
-const retryNotReady = 200 * time.Millisecond
+// notReadyRetryAfter is the Retry-After of an instance that has just started. It reads the
+// configuration within two one-way delays between regions.
+const notReadyRetryAfter = 200 * time.Millisecond
 
-// defaultWait bounds a request whose caller and route name no limit.
-const defaultWait = time.Minute
+// defaultTimeout bounds a request if neither its caller nor its route sets a limit.
+const defaultTimeout = time.Minute
 
-// prepare sets the limits of a request and what placement needs to know.
+// prepare sets the deadline, the fingerprint and the placement inputs of a request.
 func (f *Front) prepare(r *request) {
-	wait := defaultWait
-	for _, limit := range []time.Duration{r.route.Timeout, r.Timeout} {
+	wait := defaultTimeout
+	for _, limit := range []time.Duration{r.route.Timeout, r.CallerTimeout} {
 		if limit > 0 {
 			wait = min(wait, limit)
 		}
@@ -263,11 +269,10 @@
 	}
 }
 
-// serve charges a request and runs it. The failure is nil when the caller got an
-// answer.
+// serve charges a request and runs it. It returns nil if the caller got a response.
 func (f *Front) serve(w http.ResponseWriter, hr *http.Request, r *request) *failure {
 	if until, bad := f.Quarantine.Quarantined(r.print, r.arrived); bad {
-		return &failure{run: notRun, reason: reasonQuarantine, retryAfter: time.Until(until)}
+		return &failure{run: runNotRun, reason: reasonQuarantine, retryAfter: time.Until(until)}
 	}
 	ctx, cancel := context.WithDeadline(hr.Context(), r.deadline)
 	defer cancel()
@@ -276,21 +281,21 @@
 		return refused
 	}
 	f.Retries.RecordRequest(r.service, r.arrived)
-	f.awaitPlace(ctx, r)
+	f.awaitServer(ctx, r)
 	refused = f.attemptAll(ctx, w, r)
-	if refused != nil && refused.run == notRun && charge.Tokens > 0 {
+	if refused != nil && refused.run == runNotRun && charge.Tokens > 0 {
 		f.Ledger.Settle(charge, 0, time.Now())
 	}
 	return refused
 }
 
 const (
-	// quotaWaitShare is the part of the objective that a request may wait for tokens
-	// lent by another instance.
-	quotaWaitShare = 0.5
-	// quotaWait bounds that wait where a route has no objective, and in all cases:
-	// a loan from another region takes two crossings.
-	quotaWait = 400 * time.Millisecond
+	// quotaWaitFraction is the fraction of the objective that a request may wait for
+	// tokens lent by another instance.
+	quotaWaitFraction = 0.5
+	// maxQuotaWait bounds that wait, also for routes without an objective. A loan from
+	// another region takes two one-way delays.
+	maxQuotaWait = 400 * time.Millisecond
 )
 
 // charge takes the request's tokens from its account.
@@ -303,24 +308,24 @@
 	if ok {
 		return charge, nil
 	}
-	limit := quotaWait
+	limit := maxQuotaWait
 	if r.route.Objective > 0 {
-		limit = min(limit, time.Duration(quotaWaitShare*float64(r.route.Objective)))
+		limit = min(limit, time.Duration(quotaWaitFraction*float64(r.route.Objective)))
 	}
 	waiter := f.Ledger.Wait(r.account.Name, cost, limit, time.Now())
 	select {
-	case verdict := <-waiter.Done:
-		if verdict.OK {
-			return verdict.Charge, nil
+	case decision := <-waiter.Done:
+		if decision.OK {
+			return decision.Charge, nil
 		}
-		return quota.Charge{}, &failure{run: notRun, reason: reasonQuota, retryAfter: verdict.RetryAfter}
+		return quota.Charge{}, &failure{run: runNotRun, reason: reasonQuota, retryAfter: decision.RetryAfter}
 	case <-ctx.Done():
 		f.Ledger.Abandon(waiter, time.Now())
-		return quota.Charge{}, &failure{run: notRun, reason: reasonDeadline}
+		return quota.Charge{}, &failure{run: runNotRun, reason: reasonDeadline}
 	}
 }
 
-// cost returns what a request counts against its account's rate.
+// cost returns the amount that a request counts against its account's rate.
 func (r *request) cost() float64 {
 	switch {
 	case !r.account.CountTokens:
--- a/transport/httproute/local.go
+++ b/transport/httproute/local.go
@@ -15,7 +15,7 @@
 	"github.com/basilroute/basilroute/transport/backendhttp"
 )
 
-// LocalDispatcher sends requests to the backend servers of the own region.
+// LocalDispatcher sends requests to the backend servers of the local region.
 type LocalDispatcher struct {
 	Codec      Codec
 	Backends   *backends.Table
@@ -28,7 +28,7 @@
 	pools map[string]*placement.Pool
 }
 
-// Pool returns the pool of a service, made at its first use.
+// Pool returns the pool of a service. It is created on first use.
 func (l *LocalDispatcher) Pool(service string) *placement.Pool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +43,7 @@
 	return p
 }
 
-// outbound is a request to a backend server, from a caller here or from a peer.
+// outbound is a request to a backend server, received from a caller or from a peer.
 type outbound struct {
 	id          string
 	service     string
@@ -56,57 +56,57 @@
 	work        *placement.Request
 	deadline    time.Time
 	repeatable  bool
-	giveUp      func() bool // tells whether another server may be asked instead; nil for never
-	print       string
+	shouldAbort func() bool // reports whether to abandon an idle server for another one; nil for never
+	print       string      // fingerprint of the request
 	lastEventID string
 	config      int64
 }
 
-// reply is the head of an answer, whose body is still to be read.
+// reply is the head of a response whose body has not been read yet.
 type reply struct {
 	*backendhttp.Response
-	verdict ResponseMeta
-	server  string
-	ended   func(placement.Outcome)
-	went    func(time.Time) // more of the body went on; nil where nobody asks
+	meta       ResponseMeta
+	server     string
+	onEnd      func(placement.Outcome)
+	onProgress func(time.Time) // called when more of the body has been passed on; nil if not needed
 }
 
-// wentOn takes in that more of the body was handed on.
-func (r *reply) wentOn(now time.Time) {
-	if r.went != nil {
-		r.went(now)
+// reportProgress records that more of the body has been passed on.
+func (r *reply) reportProgress(now time.Time) {
+	if r.onProgress != nil {
+		r.onProgress(now)
 	}
 }
 
-// end closes the answer and says how it ended.
+// end closes the response and reports its outcome.
 func (r *reply) end(outcome placement.Outcome) {
 	r.Close()
-	r.ended(outcome)
+	r.onEnd(outcome)
 }
 
 const (
-	// silenceFactor times the expected time to the first byte is how long a server
-	// that may be replaced may say nothing.
-	silenceFactor = 3
-	// leastSilence is the least such time: answers of a good server take so long
-	// when a batch is full.
-	leastSilence = 1200 * time.Millisecond
-	// silenceShare is the most of the time left that one silent server may take, so
-	// that another one still has time.
-	silenceShare = 0.5
+	// idleTimeoutFactor times the expected time to the first byte is the idle timeout of a
+	// server that may be replaced.
+	idleTimeoutFactor = 3
+	// minIdleTimeout is the minimum idle timeout. A healthy server with a full batch takes
+	// this long to respond.
+	minIdleTimeout = 1200 * time.Millisecond
+	// maxIdleFraction is the maximum fraction of the remaining time that one idle server
+	// may use, so that another server still has time.
+	maxIdleFraction = 0.5
 )
 
-// silence returns how long the server may say nothing; 0 for as long as there is
-// time. A request that may not be repeated gains nothing by giving up.
-func (o *outbound) silence(expected time.Duration, now time.Time) time.Duration {
-	if o.giveUp == nil {
+// idleTimeout returns the idle timeout of the server, or 0 for no limit besides the
+// deadline. A request that may not be retried gains nothing from an idle timeout.
+func (o *outbound) idleTimeout(expected time.Duration, now time.Time) time.Duration {
+	if o.shouldAbort == nil {
 		return 0
 	}
-	limit := max(leastSilence, silenceFactor*expected)
-	return min(limit, time.Duration(silenceShare*float64(o.deadline.Sub(now))))
+	limit := max(minIdleTimeout, idleTimeoutFactor*expected)
+	return min(limit, time.Duration(maxIdleFraction*float64(o.deadline.Sub(now))))
 }
 
-// send sends a request to the server that was chosen and reads the answer's head.
+// send sends a request to the chosen server and reads the head of the response.
 func (l *LocalDispatcher) send(ctx context.Context, o *outbound, choice placement.Choice) (*reply, *failure) {
 	pool, placed := l.Pool(o.service), choice.Placement
 	now := time.Now()
@@ -115,65 +115,65 @@
 		Server: server.ID, Account: o.account, Timeout: o.deadline.Sub(now), Urgency: o.urgency(), LastEventID: o.lastEventID,
 		FetchFrom: choice.FetchFrom,
 	})
-	answer, err := l.Client.Do(ctx, server.Address, &backendhttp.Request{
+	response, err := l.Client.Do(ctx, server.Address, &backendhttp.Request{
 		Method: o.method, Target: o.target, Host: o.host, Header: out, Body: o.body,
 	}, backendhttp.Options{
-		FreshConn: !o.repeatable, IdleTimeout: o.silence(choice.ExpectedFirstByte, now), ShouldAbort: o.giveUp,
+		FreshConn: !o.repeatable, IdleTimeout: o.idleTimeout(choice.ExpectedFirstByte, now), ShouldAbort: o.shouldAbort,
 		MatchResponse: func(resp *http.Response) bool {
 			id := l.Codec.DecodeResponse(resp.StatusCode, resp.Header).RequestID
 			return id == o.id
 		},
 	})
 	if err != nil {
-		return nil, l.failed(ctx, o, placed, err)
+		return nil, l.attemptFailed(ctx, o, placed, err)
 	}
-	return l.judge(o, pool, placed, answer)
+	return l.checkResponse(o, pool, placed, response)
 }
 
 const (
-	// urgencyStep spreads the urgencies of routes over those of engines, 0 to 9; one
-	// that names none has 5.
-	urgencyStep  = 2
-	leastUrgency = 8
+	// urgencyStep maps the urgencies of routes to those of engines, which range from 0 to
+	// 9. Engines use 5 for a request that specifies none.
+	urgencyStep   = 2
+	lowestUrgency = 8
 )
 
-// urgency is the same for requests that will miss their objective. With a lower one
-// engines put them back, in the middle of their answer, for each more urgent request that
-// finds the batch full, and read their whole prompt again.
-func (o *outbound) urgency() int { return min(1+urgencyStep*o.work.Urgency, leastUrgency) }
+// urgency does not depend on whether a request will miss its objective. If such requests
+// got a lower urgency, engines would preempt them in the middle of their generation for
+// each more urgent request that finds the batch full, and recompute their whole prompt.
+func (o *outbound) urgency() int { return min(1+urgencyStep*o.work.Urgency, lowestUrgency) }
 
-// judge reads what the server says beside its answer.
-func (l *LocalDispatcher) judge(o *outbound, pool *placement.Pool, placed *placement.Placement, answer *backendhttp.Response) (*reply, *failure) {
+// checkResponse evaluates the response headers of the server.
+func (l *LocalDispatcher) checkResponse(o *outbound, pool *placement.Pool, placed *placement.Placement, resp *backendhttp.Response) (*reply, *failure) {
 	now := time.Now()
-	verdict := l.Codec.DecodeResponse(answer.Status, answer.Header)
-	if verdict.Load != nil {
-		pool.RecordLoad(placed, *verdict.Load, now)
+	meta := l.Codec.DecodeResponse(resp.Status, resp.Header)
+	if meta.Load != nil {
+		pool.RecordLoad(placed, *meta.Load, now)
 	}
-	r := &reply{Response: answer, verdict: verdict, server: placed.Server.ID}
-	r.ended = func(outcome placement.Outcome) {
+	r := &reply{Response: resp, meta: meta, server: placed.Server.ID}
+	r.onEnd = func(outcome placement.Outcome) {
 		pool.Done(placed, outcome, time.Now())
 		if outcome == placement.OutcomeFailed {
-			l.suspect(o, placed)
+			l.checkCrash(o, placed)
 		}
 	}
 	switch {
-	case verdict.Misdirected:
+	case meta.Misdirected:
 		l.Backends.RemoveReplaced(placed.Server.ID, placed.Server.Incarnation)
 		l.Log.Info("server_gone", "server", placed.Server.ID, "request", o.id, "why", "another server answers at its address")
 		r.end(placement.OutcomeDown)
-		return nil, &failure{run: notRun, reason: reasonShed, server: r.server, sent: true}
-	case verdict.NotRun:
+		return nil, &failure{run: runNotRun, reason: reasonShed, server: r.server, sent: true}
+	case meta.NotRun:
 		r.end(placement.OutcomeRefused)
-		return nil, &failure{run: notRun, reason: reasonShed, server: r.server, sent: true}
-	case answer.Header.Get("Content-Encoding") != "":
-		// Nobody asked for an encoding: these are not the server's bytes.
-		answer.Close()
+		return nil, &failure{run: runNotRun, reason: reasonShed, server: r.server, sent: true}
+	case resp.Header.Get("Content-Encoding") != "":
+		// No encoding was requested, so the body is not what the server wrote.
+		resp.Close()
 		pool.Done(placed, placement.OutcomeFailed, now)
-		return nil, &failure{run: unknown, reason: reasonMalformed, server: r.server, sent: true}
+		return nil, &failure{run: runUnknown, reason: reasonMalformed, server: r.server, sent: true}
 	}
 	pool.RecordFirstByte(placed, now)
 	var last time.Time
-	r.went = func(now time.Time) {
+	r.onProgress = func(now time.Time) {
 		if !last.IsZero() {
 			pool.RecordEvent(placed, now.Sub(last), now)
 		}
@@ -182,16 +182,16 @@
 	return r, nil
 }
 
-// failed takes in that a request got no answer.
-func (l *LocalDispatcher) failed(ctx context.Context, o *outbound, placed *placement.Placement, err error) *failure {
+// attemptFailed records that a request got no response.
+func (l *LocalDispatcher) attemptFailed(ctx context.Context, o *outbound, placed *placement.Placement, err error) *failure {
 	pool := l.Pool(o.service)
-	f := &failure{run: unknown, reason: reasonBroken, server: placed.Server.ID, sent: true, cause: err}
+	f := &failure{run: runUnknown, reason: reasonBroken, server: placed.Server.ID, sent: true, cause: err}
 	outcome := placement.OutcomeFailed
 	switch {
 	case errors.Is(err, backendhttp.ErrRefused):
-		f.run, f.reason, f.sent, outcome = notRun, reasonUnreachable, false, placement.OutcomeDown
+		f.run, f.reason, f.sent, outcome = runNotRun, reasonUnreachable, false, placement.OutcomeDown
 	case errors.Is(err, backendhttp.ErrNotSent):
-		f.run, f.reason, f.sent = notRun, reasonUnreachable, false
+		f.run, f.reason, f.sent = runNotRun, reasonUnreachable, false
 	case errors.Is(err, backendhttp.ErrMalformed):
 		f.reason = reasonMalformed
 	case errors.Is(err, backendhttp.ErrIdleTimeout):
@@ -201,23 +201,24 @@
 		outcome = placement.OutcomeCancelled
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			f.reason = reasonDeadline
-			if time.Since(placed.Sent) > leastSilence { // a shorter time says nothing of the server
+			if time.Since(placed.Sent) > minIdleTimeout { // a shorter time says nothing about the server
 				outcome = placement.OutcomeFailed
 			}
 		}
 	}
 	pool.Done(placed, outcome, time.Now())
 	if f.reason == reasonBroken {
-		l.suspect(o, placed)
+		l.checkCrash(o, placed)
 	}
 	l.Log.Info("attempt_failed", "request", o.id, "service", o.service, "server", f.server, "reason", string(f.reason),
 		"run", string(f.run), "error", err.Error(), "config", o.config)
 	return f
 }
 
-// suspect finds out whether the server's process ended with the request in flight:
-// then nothing listens any more. The news is held against the request's fingerprint.
-func (l *LocalDispatcher) suspect(o *outbound, placed *placement.Placement) {
+// checkCrash detects in the background whether the server's process ended while the
+// request was in flight, in which case connections to its address are refused. The crash
+// is recorded against the request's fingerprint.
+func (l *LocalDispatcher) checkCrash(o *outbound, placed *placement.Placement) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
@@ -226,15 +227,16 @@
 		}
 		now := time.Now()
 		l.Pool(o.service).RecordDown(placed, now)
-		l.Quarantine.RecordCrash(o.print, placed.Server.ID, lifetimeName(placed), now)
+		l.Quarantine.RecordCrash(o.print, placed.Server.ID, incarnationName(placed), now)
 		l.Log.Info("server_crashed", "request", o.id, "server", placed.Server.ID, "fingerprint", o.print)
 	}()
 }
 
-// probeTimeout bounds the question whether a server still listens.
+// probeTimeout bounds the check whether a server still accepts connections.
 const probeTimeout = 250 * time.Millisecond
 
-// lifetimeName names a lifetime alike at all instances.
-func lifetimeName(placed *placement.Placement) string {
+// incarnationName returns a name for the incarnation of a server that is the same at all
+// instances.
+func incarnationName(placed *placement.Placement) string {
 	return time.UnixMilli(placed.Server.StartUnixMs).UTC().Format(time.RFC3339Nano)
 }
--- a/transport/httproute/metrics.go
+++ b/transport/httproute/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the series of HTTP routes. No label carries an account, a route or a
-// server, so that their number stays with the services.
+// Metrics holds the metrics of HTTP routes. No label contains an account, a route or a
+// server, so that the number of series grows only with the services.
 type Metrics struct {
 	requests  *prometheus.CounterVec
 	seconds   *prometheus.HistogramVec
@@ -16,7 +16,7 @@
 	noService string
 }
 
-// NewMetrics registers the series.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	const namespace, subsystem = "basilroute", "route"
 	m := &Metrics{
@@ -42,7 +42,7 @@
 
 var kindNames = [...]string{"idempotent", "non_idempotent", "streaming"}
 
-func (m *Metrics) ended(r *request, refused *failure, took time.Duration) {
+func (m *Metrics) requestEnded(r *request, refused *failure, took time.Duration) {
 	service, kind := m.noService, "none"
 	if r != nil && r.route != nil {
 		service, kind = r.service, kindNames[r.route.Kind]
--- a/transport/httproute/path_test.go
+++ b/transport/httproute/path_test.go
@@ -27,13 +27,13 @@
 	"github.com/basilroute/basilroute/transport/backendhttp"
 )
 
-// testCodec is a deployment with short header names.
+// testCodec is the codec of a deployment with short header names.
 type testCodec struct{}
 
 func (testCodec) DecodeCall(h http.Header) Call {
 	c := Call{RequestID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last-Event-Id")}
 	if ms, err := strconv.Atoi(h.Get("Wait-Ms")); err == nil {
-		c.Timeout = time.Duration(ms) * time.Millisecond
+		c.CallerTimeout = time.Duration(ms) * time.Millisecond
 	}
 	return c
 }
@@ -54,28 +54,28 @@
 	return ResponseMeta{RequestID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
 }
 
-// standIn is a backend server that answers by a script.
-type standIn struct {
+// fakeServer is a backend server that responds by a script.
+type fakeServer struct {
 	address string
 	script  func(c net.Conn, r *http.Request) (keep bool)
 	mu      sync.Mutex
 	seen    []*http.Request
 }
 
-func (s *standIn) requests() []*http.Request {
+func (s *fakeServer) requests() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.seen
 }
 
-func startStandIn(t *testing.T, script func(c net.Conn, r *http.Request) bool) *standIn {
+func startFakeServer(t *testing.T, script func(c net.Conn, r *http.Request) bool) *fakeServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &standIn{address: l.Addr().String(), script: script}
+	s := &fakeServer{address: l.Addr().String(), script: script}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -88,7 +88,7 @@
 	return s
 }
 
-func (s *standIn) connection(c net.Conn) {
+func (s *fakeServer) connection(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -112,8 +112,8 @@
 	return err == nil
 }
 
-// events writes a stream of events from one id to another, whole or broken off
-// within the next event.
+// writeEvents writes the events of a range of ids, complete or cut off within the next
+// event.
 func writeEvents(c net.Conn, r *http.Request, from, to int, whole bool) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 	for i := from; i <= to; i++ {
@@ -127,20 +127,20 @@
 	_, _ = fmt.Fprintf(c, "4\r\nid: \r\n")
 }
 
-type alone struct{}
+type noRemotes struct{}
 
-func (alone) MarkUnreachable(string) {}
+func (noRemotes) MarkUnreachable(string) {}
 
-func (alone) Remotes(string) []Remote             { return nil }
-func (alone) InstanceCounts() (fleet, region int) { return 1, 1 }
+func (noRemotes) Remotes(string) []Remote             { return nil }
+func (noRemotes) InstanceCounts() (fleet, region int) { return 1, 1 }
 
 const (
 	testHost = "desk.example"
 	testKey  = "key-of-the-grocers"
 )
 
-// gatewayOver is a Front over stand-ins, with a route of each kind.
-func gatewayOver(t *testing.T, servers ...*standIn) (*Front, *httptest.Server) {
+// newTestFront returns a Front for fake servers.
+func newTestFront(t *testing.T, servers ...*fakeServer) (*Front, *httptest.Server) {
 	t.Helper()
 	table := backends.New()
 	for i, s := range servers {
@@ -156,7 +156,7 @@
 	f := &Front{
 		Region: "r", Codec: testCodec{}, Routes: &routes.Table{}, Ledger: quota.New("i"), Quarantine: list,
 		Retries: retry.NewWindow(retry.WindowSettings{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second}),
-		Remotes: alone{}, Local: local, Peers: local.Client, Log: log, Metrics: metrics,
+		Remotes: noRemotes{}, Local: local, Peers: local.Client, Log: log, Metrics: metrics,
 		Starting: never, Stopping: never, Leaving: never, TimeToShutdown: func() time.Duration { return 0 },
 	}
 	front := httptest.NewServer(f)
@@ -208,12 +208,12 @@
 	return resp, string(got), err
 }
 
-// Before any configuration is known nothing says whether a request is proper: it is
-// refused as not run, and not with a 4xx that the caller would take for final. After
-// that unknown routes and keys get their own answers.
-func TestWhatNoRouteAllows(t *testing.T) {
-	s := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
-	f, front := gatewayOver(t, s)
+// Without a configuration an instance cannot tell whether a request is valid: it refuses
+// it as not run, and not with a 4xx that the caller would take for final. With a
+// configuration, invalid requests get the status that names their fault.
+func TestStatusOfRejectedRequests(t *testing.T) {
+	s := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
+	f, front := newTestFront(t, s)
 	if resp, _, err := call(t, t.Context(), front, "GET", "/read/1", ""); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("without a configuration: %v, %v", resp, err)
 	}
@@ -239,11 +239,10 @@
 }
 
 // The server gets method, path, query, body and the caller's headers unchanged, the
-// account's name and what is left of the time; it never gets the key, nor what
-// concerns the caller's connection only.
+// account's name and the remaining time. It never gets the key or hop-by-hop headers.
 func TestWhatTheServerGets(t *testing.T) {
-	s := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
-	f, front := gatewayOver(t, s)
+	s := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
+	f, front := newTestFront(t, s)
 	configure(f)
 	if _, _, err := call(t, t.Context(), front, "POST", "/order/a%2Fb?q=1&q=2", "body", "Mine", "x", "Wait-Ms", "3000",
 		"Connection", "Other", "Other", "y", "Account", "forged"); err != nil {
@@ -262,50 +261,51 @@
 	}
 }
 
-// A server breaks off with a request in flight. A read is asked for again at another
-// server; an order may have run, so it is sent once and the caller learns that its
-// outcome is unknown. A server that says it did not run the order makes it "not run".
+// A server closes the connection with a request in flight. An idempotent request is
+// retried at another server. A non-idempotent one may have run, so it is sent once and the
+// caller learns that its outcome is unknown. If the server says that it did not run, it is
+// reported as not run.
 func TestRepeatsByKind(t *testing.T) {
-	breaks := startStandIn(t, func(net.Conn, *http.Request) bool { return false })
-	good := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
-	f, front := gatewayOver(t, breaks, good)
+	breaks := startFakeServer(t, func(net.Conn, *http.Request) bool { return false })
+	good := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
+	f, front := newTestFront(t, breaks, good)
 	configure(f)
 	for range 4 {
 		if resp, body, err := call(t, t.Context(), front, "GET", "/read/1", ""); err != nil || resp.StatusCode != 200 || body != "ok" {
-			t.Errorf("a read: %v, %v", resp, err)
+			t.Errorf("an idempotent request: %v, %v", resp, err)
 		}
 	}
-	only, frontOnly := gatewayOver(t, breaks)
+	only, frontOnly := newTestFront(t, breaks)
 	configure(only)
 	before := len(breaks.requests())
 	if resp, _, err := call(t, t.Context(), frontOnly, "POST", "/order/1", "x"); err != nil || resp.StatusCode != 502 || resp.Header.Get("Retry-After") != "" {
-		t.Errorf("an order whose outcome is unknown: %v, %v", resp, err)
+		t.Errorf("a non-idempotent request whose outcome is unknown: %v, %v", resp, err)
 	}
 	if n := len(breaks.requests()) - before; n != 1 {
-		t.Errorf("the order was sent %d times", n)
+		t.Errorf("the non-idempotent request was sent %d times", n)
 	}
-	sheds := startStandIn(t, func(c net.Conn, r *http.Request) bool {
+	sheds := startFakeServer(t, func(c net.Conn, r *http.Request) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 503 X\r\nId: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Id"))
 		return err == nil
 	})
-	shed, frontShed := gatewayOver(t, sheds)
+	shed, frontShed := newTestFront(t, sheds)
 	configure(shed)
 	if resp, _, err := call(t, t.Context(), frontShed, "POST", "/order/1", "x"); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("an order that did not run: %v, %v", resp, err)
+		t.Errorf("a non-idempotent request that did not run: %v, %v", resp, err)
 	}
 }
 
-// Nothing listens at one of two servers. Nothing was sent, so even an order goes on to
-// the other one, and the caller sees nothing of it.
+// One of two servers refuses connections. Nothing was sent, so even a non-idempotent
+// request is retried at the other one, and the caller does not notice.
 func TestUnsentOrderGoesOn(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := &standIn{address: l.Addr().String()}
+	dead := &fakeServer{address: l.Addr().String()}
 	_ = l.Close()
-	good := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
-	f, front := gatewayOver(t, dead, good)
+	good := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
+	f, front := newTestFront(t, dead, good)
 	configure(f)
 	for range 6 {
 		if resp, _, err := call(t, t.Context(), front, "POST", "/order/1", "x"); err != nil || resp.StatusCode != 200 {
@@ -314,9 +314,9 @@
 	}
 }
 
-// A server crashes within an event of a stream that may be resumed. The caller gets
-// one whole stream: every event once, in order, with nothing of the half event, from
-// the first server up to the crash and from the second one behind it.
+// A server crashes within an event of a resumable stream. The caller gets one complete
+// stream: every event once and in order, nothing of the incomplete event, from the first
+// server up to the crash and from the second one after it.
 func TestStreamGoesOnAtAnotherServer(t *testing.T) {
 	script := func(c net.Conn, r *http.Request) bool {
 		last, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -327,7 +327,7 @@
 		writeEvents(c, r, last+1, 6, true)
 		return true
 	}
-	f, front := gatewayOver(t, startStandIn(t, script), startStandIn(t, script))
+	f, front := newTestFront(t, startFakeServer(t, script), startFakeServer(t, script))
 	configure(f)
 	want := ""
 	for i := range 7 {
@@ -336,34 +336,34 @@
 	if resp, body, err := call(t, t.Context(), front, "POST", "/draft/1", "x"); err != nil || resp.StatusCode != 200 || body != want {
 		t.Errorf("%v, %q, %v", resp, body, err)
 	}
-	// One that may not be resumed ends without its end: it must not look complete.
+	// A stream that is not resumable is aborted: it must not look complete.
 	if _, body, err := call(t, t.Context(), front, "POST", "/chat/1", "x"); err == nil {
-		t.Errorf("a broken stream looks whole: %q", body)
+		t.Errorf("an aborted stream looks complete: %q", body)
 	}
 }
 
-// The first server breaks off and the second, the last that the route allows, says
-// nothing for longer than a silent server is borne when there is another one. It is
-// still at work: its answer is waited for, and the caller gets the whole stream.
+// The first server fails and the second, the last attempt of the route, is idle for longer
+// than the idle timeout. There is no alternative, so its response is waited for, and the
+// caller gets the complete stream.
 func TestLastServerMayBeSilent(t *testing.T) {
 	script := func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Last-Event-Id") == "" {
 			writeEvents(c, r, 0, 1, false)
 			return false
 		}
-		time.Sleep(leastGap + 100*time.Millisecond)
+		time.Sleep(minGapTimeout + 100*time.Millisecond)
 		writeEvents(c, r, 2, 3, true)
 		return true
 	}
-	f, front := gatewayOver(t, startStandIn(t, script), startStandIn(t, script), startStandIn(t, script))
+	f, front := newTestFront(t, startFakeServer(t, script), startFakeServer(t, script), startFakeServer(t, script))
 	configure(f)
 	if _, body, err := call(t, t.Context(), front, "POST", "/draft/1", "x"); err != nil || strings.Count(body, "data:") != 4 {
 		t.Errorf("%q, %v", body, err)
 	}
 }
 
-// The second server goes on at the wrong event. A stream with a gap or a repeat would
-// look whole to the caller, so it is broken off.
+// The second server resumes at the wrong event. A stream with a gap or a duplicate would
+// look complete to the caller, so it is aborted.
 func TestStreamThatGoesOnWronglyIsBrokenOff(t *testing.T) {
 	script := func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Last-Event-Id") == "" {
@@ -373,19 +373,19 @@
 		writeEvents(c, r, 3, 6, true) // event 3 once more
 		return true
 	}
-	f, front := gatewayOver(t, startStandIn(t, script), startStandIn(t, script))
+	f, front := newTestFront(t, startFakeServer(t, script), startFakeServer(t, script))
 	configure(f)
 	if _, body, err := call(t, t.Context(), front, "POST", "/draft/1", "x"); err == nil {
-		t.Errorf("looks whole: %q", body)
+		t.Errorf("looks complete: %q", body)
 	}
 }
 
-// The caller goes away. What may be dropped is dropped at once: the server sees its
-// connection end. An order runs to its end.
+// The caller disconnects. An idempotent request is dropped at once: the server sees its
+// connection close. A non-idempotent one runs to completion.
 func TestCallerGone(t *testing.T) {
 	arrived := make(chan struct{}, 2)
 	ended := make(chan string, 2)
-	s := startStandIn(t, func(c net.Conn, r *http.Request) bool {
+	s := startFakeServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- struct{}{}
 		_ = c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		_, err := c.Read(make([]byte, 1))
@@ -397,18 +397,18 @@
 		_ = c.SetReadDeadline(time.Time{})
 		return respond(c, r, 200, "ok")
 	})
-	f, front := gatewayOver(t, s)
+	f, front := newTestFront(t, s)
 	configure(f)
 	for _, tc := range []struct{ method, path, want string }{
 		{"GET", "/read/1", "GET dropped"}, {"POST", "/order/1", "POST ran on"},
 	} {
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		go func() {
 			<-arrived
-			leave()
+			disconnect()
 		}()
 		if _, _, err := call(t, ctx, front, tc.method, tc.path, ""); err == nil {
-			t.Error("a caller that left got an answer")
+			t.Error("a caller that disconnected got a response")
 		}
 		if got := <-ended; got != tc.want {
 			t.Errorf("%s, want %s", got, tc.want)
@@ -416,44 +416,45 @@
 	}
 }
 
-// A server is silent beyond the route's time. The caller gets a final answer then, and
-// it does not promise that the request has not run.
+// A server does not respond within the route's timeout. The caller gets a final response
+// then, which does not claim that the request has not run.
 func TestRouteTimeout(t *testing.T) {
-	s := startStandIn(t, func(c net.Conn, _ *http.Request) bool {
+	s := startFakeServer(t, func(c net.Conn, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
 		return false
 	})
-	f, front := gatewayOver(t, s)
+	f, front := newTestFront(t, s)
 	configure(f)
 	if resp, _, err := call(t, t.Context(), front, "GET", "/slow/1", ""); err != nil || resp.StatusCode != 504 {
 		t.Errorf("%v, %v", resp, err)
 	}
 }
 
-// A read gets a whole answer with an error of the server itself. Another server is
-// asked; when that fails too, the caller gets a server's own answer and not ours.
-func TestServersOwnErrors(t *testing.T) {
-	bad := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 500, "own") })
-	good := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
-	f, front := gatewayOver(t, bad, good)
+// A server responds to an idempotent request with a complete 5xx of its own. Another
+// server is tried; if that fails too, the caller gets the server's response and not one of
+// the instance.
+func TestServerErrorsArePassedThrough(t *testing.T) {
+	bad := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 500, "own") })
+	good := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
+	f, front := newTestFront(t, bad, good)
 	configure(f)
 	for range 4 {
 		if resp, body, err := call(t, t.Context(), front, "GET", "/read/1", ""); err != nil || resp.StatusCode != 200 || body != "ok" {
 			t.Errorf("%v, %v", resp, err)
 		}
 	}
-	only, frontOnly := gatewayOver(t, bad)
+	only, frontOnly := newTestFront(t, bad)
 	configure(only)
 	if resp, body, err := call(t, t.Context(), frontOnly, "GET", "/read/1", ""); err != nil || resp.StatusCode != 500 || body != "own" {
 		t.Errorf("%v, %q, %v", resp, body, err)
 	}
 }
 
-// A request hides another one behind two lengths that differ. Nothing of the hidden
-// one reaches a server.
+// A request hides a second one behind two conflicting lengths (request smuggling). Nothing
+// of the hidden one reaches a server.
 func TestSmuggledRequest(t *testing.T) {
-	s := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
-	f, front := gatewayOver(t, s)
+	s := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
+	f, front := newTestFront(t, s)
 	configure(f)
 	hidden := "GET /read/hidden HTTP/1.1\r\nHost: " + testHost + "\r\nId: hidden\r\nKey: " + testKey + "\r\n\r\n"
 	for _, framing := range []string{
@@ -475,11 +476,12 @@
 	}
 }
 
-// A caller announces a body, sends a part of it and goes away. Nothing of it reaches a
-// server, which would run half an order, and the connection's goroutine ends.
+// A caller announces a body, sends part of it and disconnects. Nothing of it reaches a
+// server, which would otherwise run an incomplete request, and the connection's goroutine
+// ends.
 func TestCallerLeavesWithinItsBody(t *testing.T) {
-	s := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
-	f, front := gatewayOver(t, s)
+	s := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "ok") })
+	f, front := newTestFront(t, s)
 	configure(f)
 	for _, framing := range []string{"Content-Length: 100\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n64\r\nhalf"} {
 		c, err := net.Dial("tcp", front.Listener.Addr().String())
--- a/transport/httproute/relay.go
+++ b/transport/httproute/relay.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	// maxBuffered is the size up to which an answer that is no stream is held until
-	// it is whole. One that breaks off before can still be asked for again.
+	// maxBuffered is the size up to which a response that is not a stream is buffered
+	// until it is complete. A buffered response that is cut off can still be retried.
 	maxBuffered = 1 << 20
 	relayBuffer = 16 << 10
-	// gapFactor times the longest pause that is on time is how long a stream that may
-	// go on elsewhere may say nothing.
-	gapFactor = 4
-	// leastGap is the least such pause.
-	leastGap = 1200 * time.Millisecond
+	// gapTimeoutFactor times the gap objective is the idle timeout of a stream that can be
+	// resumed at another server.
+	gapTimeoutFactor = 4
+	// minGapTimeout is the minimum of that idle timeout.
+	minGapTimeout = 1200 * time.Millisecond
 )
 
-// delivery hands the answer of one request to its caller, from one server or, for
+// delivery writes the response of one request to its caller, from one server or, for
 // streams that may be resumed, from several.
 type delivery struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	r       *request
-	begun   bool // the caller has the head of the answer
-	events  events
-	kept    *keptAnswer
+	started bool // the head of the response has been written
+	events  eventBuffer
+	held    *heldResponse
 }
 
-// keptAnswer is a server's own error, held while another server is tried.
-type keptAnswer struct {
+// heldResponse is a buffered response. A server's own error is held while another server
+// is tried.
+type heldResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -48,64 +49,64 @@
 	return &delivery{w: w, control: http.NewResponseController(w), r: r}
 }
 
-// take hands the answer to the caller. The failure is nil when the caller has it.
-func (d *delivery) take(ctx context.Context, rep *reply) *failure {
+// deliver writes the response to the caller. It returns nil if the caller has received it.
+func (d *delivery) deliver(ctx context.Context, rep *reply) *failure {
 	if rep.Status == http.StatusOK && d.r.route.Kind == routes.KindStreaming {
-		return d.stream(ctx, rep)
+		return d.deliverStream(ctx, rep)
 	}
-	if d.begun { // the server that was to go on with a stream did not
+	if d.started { // the server that was to resume the stream did not
 		rep.end(placement.OutcomeErrorCode)
-		return &failure{run: hasRun, reason: reasonShed, server: rep.server, sent: true}
+		return &failure{run: runRan, reason: reasonShed, server: rep.server, sent: true}
 	}
-	return d.whole(ctx, rep)
+	return d.deliverBuffered(ctx, rep)
 }
 
-// whole takes an answer that is no stream.
-func (d *delivery) whole(ctx context.Context, rep *reply) *failure {
+// deliverBuffered handles a response that is not a stream.
+func (d *delivery) deliverBuffered(ctx context.Context, rep *reply) *failure {
 	body, err := io.ReadAll(io.LimitReader(rep, maxBuffered))
 	if err != nil {
-		return d.broken(ctx, rep, err)
+		return d.interrupted(ctx, rep, err)
 	}
 	if len(body) == maxBuffered {
-		return d.long(ctx, rep, body)
+		return d.deliverLarge(ctx, rep, body)
 	}
 	outcome := placement.OutcomeServed
 	if rep.Status >= http.StatusInternalServerError {
 		outcome = placement.OutcomeErrorCode
 	}
 	rep.end(outcome)
-	d.kept = &keptAnswer{status: rep.Status, header: rep.Header, body: body}
+	d.held = &heldResponse{status: rep.Status, header: rep.Header, body: body}
 	if outcome == placement.OutcomeErrorCode && d.r.route.Repeatable() {
-		return &failure{run: hasRun, reason: reasonShed, server: rep.server, sent: true}
+		return &failure{run: runRan, reason: reasonShed, server: rep.server, sent: true}
 	}
-	d.handOver()
+	d.writeHeld()
 	return nil
 }
 
-// handOver writes the answer that is held.
-func (d *delivery) handOver() {
-	d.head(d.kept.header)
-	d.w.Header().Set("Content-Length", strconv.Itoa(len(d.kept.body)))
-	d.w.WriteHeader(d.kept.status)
-	_, _ = d.w.Write(d.kept.body) // a caller that has gone needs no answer
+// writeHeld writes the held response.
+func (d *delivery) writeHeld() {
+	d.copyHeader(d.held.header)
+	d.w.Header().Set("Content-Length", strconv.Itoa(len(d.held.body)))
+	d.w.WriteHeader(d.held.status)
+	_, _ = d.w.Write(d.held.body) // a write error means that the caller has disconnected
 }
 
-// long hands on an answer that is too large to be held.
-func (d *delivery) long(ctx context.Context, rep *reply, body []byte) *failure {
-	d.begin(rep)
+// deliverLarge relays a response that is too large to be buffered.
+func (d *delivery) deliverLarge(ctx context.Context, rep *reply, body []byte) *failure {
+	d.writeHead(rep)
 	if _, err := d.w.Write(body); err != nil {
 		rep.end(placement.OutcomeCancelled)
-		return nil // the caller has gone
+		return nil // the caller has disconnected
 	}
 	if _, err := io.Copy(d.w, rep); err != nil {
-		return d.broken(ctx, rep, err)
+		return d.interrupted(ctx, rep, err)
 	}
 	rep.end(placement.OutcomeServed)
 	return nil
 }
 
-// head copies an answer's end-to-end headers.
-func (d *delivery) head(header http.Header) {
+// copyHeader copies a response's end-to-end headers.
+func (d *delivery) copyHeader(header http.Header) {
 	h := d.w.Header()
 	for name, values := range EndToEnd(header) {
 		h[name] = values
@@ -115,110 +116,113 @@
 	}
 }
 
-// begin writes the head of the answer.
-func (d *delivery) begin(rep *reply) {
-	if d.begun {
+// writeHead writes the head of the response, once.
+func (d *delivery) writeHead(rep *reply) {
+	if d.started {
 		return
 	}
-	d.begun = true
-	d.head(rep.Header)
+	d.started = true
+	d.copyHeader(rep.Header)
 	d.w.WriteHeader(rep.Status)
 }
 
-// stream hands on events as they arrive.
-func (d *delivery) stream(ctx context.Context, rep *reply) *failure {
+// deliverStream relays events as they arrive.
+func (d *delivery) deliverStream(ctx context.Context, rep *reply) *failure {
 	buffer := make([]byte, relayBuffer)
 	resumedAfter := d.events.lastID
 	checked := resumedAfter == ""
-	if gap := d.gap(); gap > 0 {
-		rep.SetIdleTimeout(gap, d.r.mayLeave)
+	if gap := d.gapTimeout(); gap > 0 {
+		rep.SetIdleTimeout(gap, d.r.shouldAbort)
 	}
 	for {
 		n, err := rep.Read(buffer)
-		whole := d.events.take(buffer[:n])
-		if !checked && len(whole) > 0 {
+		completed := d.events.push(buffer[:n])
+		if !checked && len(completed) > 0 {
 			checked = true
-			if !follows(firstID(whole), resumedAfter) {
-				return d.broken(ctx, rep, errOutOfOrder)
+			if !isNextID(firstID(completed), resumedAfter) {
+				return d.interrupted(ctx, rep, errOutOfOrder)
 			}
 		}
 		if len(d.events.partial) > maxEvent {
-			return d.broken(ctx, rep, errLongEvent)
+			return d.interrupted(ctx, rep, errLongEvent)
 		}
-		if failed := d.pass(rep, whole); failed {
+		if failed := d.sendEvents(rep, completed); failed {
 			rep.end(placement.OutcomeCancelled)
 			return nil
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return d.complete(ctx, rep)
+			return d.endStream(ctx, rep)
 		case err != nil:
-			return d.broken(ctx, rep, err)
+			return d.interrupted(ctx, rep, err)
 		}
 	}
 }
 
 var (
-	errOutOfOrder = errors.New("the server did not go on behind the last event")
-	errLongEvent  = errors.New("an event is too long")
-	errHalfEvent  = errors.New("the answer ends within an event")
+	errOutOfOrder      = errors.New("the server did not resume after the last event")
+	errLongEvent       = errors.New("event exceeds the size limit")
+	errIncompleteEvent = errors.New("the response ends within an event")
 )
 
-// gap returns how long the server may say nothing; 0 for as long as there is time.
-func (d *delivery) gap() time.Duration {
+// gapTimeout returns the idle timeout of the server during the stream, or 0 for no limit
+// besides the deadline.
+func (d *delivery) gapTimeout() time.Duration {
 	if !d.r.route.Resumable {
 		return 0
 	}
-	return max(gapFactor*d.r.route.GapObjective, leastGap)
+	return max(gapTimeoutFactor*d.r.route.GapObjective, minGapTimeout)
 }
 
-// pauses tells how evenly the events of an answer went to its caller.
-type pauses struct {
+// eventGaps records the gaps between the events of a response as they were sent to its
+// caller.
+type eventGaps struct {
 	events  int
-	longest time.Duration // between two events
-	last    time.Time     // when the last one went
+	longest time.Duration // longest gap between two events
+	last    time.Time     // when the last event was sent
 }
 
-// passed takes in that events went to the caller; count are all so far.
-func (p *pauses) passed(count int, now time.Time) {
+// record records that events were sent to the caller. count is the total so far.
+func (p *eventGaps) record(count int, now time.Time) {
 	if p.events > 0 {
 		p.longest = max(p.longest, now.Sub(p.last))
 	}
 	p.events, p.last = count, now
 }
 
-// pass hands whole events to the caller.
-func (d *delivery) pass(rep *reply, whole []byte) (gone bool) {
-	if len(whole) == 0 {
+// sendEvents sends complete events to the caller. gone reports that the caller has
+// disconnected.
+func (d *delivery) sendEvents(rep *reply, completed []byte) (gone bool) {
+	if len(completed) == 0 {
 		return false
 	}
-	d.begin(rep)
-	_, err := d.w.Write(whole)
+	d.writeHead(rep)
+	_, err := d.w.Write(completed)
 	if err == nil {
 		err = d.control.Flush()
 	}
-	d.events.drop(whole)
+	d.events.consume(completed)
 	now := time.Now()
-	d.r.pauses.passed(d.events.count, now)
-	rep.wentOn(now)
+	d.r.gaps.record(d.events.count, now)
+	rep.reportProgress(now)
 	return err != nil
 }
 
-// complete ends a stream whose last byte has come.
-func (d *delivery) complete(ctx context.Context, rep *reply) *failure {
+// endStream ends a stream whose last byte has arrived.
+func (d *delivery) endStream(ctx context.Context, rep *reply) *failure {
 	if len(d.events.partial) > 0 {
-		return d.broken(ctx, rep, errHalfEvent)
+		return d.interrupted(ctx, rep, errIncompleteEvent)
 	}
-	d.begin(rep)
+	d.writeHead(rep)
 	rep.end(placement.OutcomeServed)
 	return nil
 }
 
-// broken takes in that an answer broke off.
-func (d *delivery) broken(ctx context.Context, rep *reply, err error) *failure {
+// interrupted records that a response was cut off.
+func (d *delivery) interrupted(ctx context.Context, rep *reply, err error) *failure {
 	d.events.reset()
 	outcome := placement.OutcomeFailed
-	f := &failure{run: hasRun, reason: reasonBroken, server: rep.server, sent: true, cause: err}
+	f := &failure{run: runRan, reason: reasonBroken, server: rep.server, sent: true, cause: err}
 	if errors.Is(err, backendhttp.ErrIdleTimeout) {
 		f.reason = reasonSilent
 	}
--- a/transport/httproute/starting_test.go
+++ b/transport/httproute/starting_test.go
@@ -11,13 +11,14 @@
 	"github.com/basilroute/basilroute/state/routes"
 )
 
-// An instance and its neighbours restart. Callers whose answers were cut come back at once,
-// a tenth of a second before the configuration is here; they have no attempt left after
-// this one. They were refused and lost, although the servers behind were idle.
+// An instance and its neighbours restart. Callers whose responses were cut off retry at
+// once, a tenth of a second before the configuration arrives, and have no attempt left
+// after this one. Guards against refusing them while the servers behind the instance are
+// idle.
 func TestRequestWaitsForTheConfigurationAfterAStart(t *testing.T) {
-	s := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "done") })
-	f, front := gatewayOver(t, s)
-	f.Starting = func() bool { // asked while the configuration is awaited
+	s := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "done") })
+	f, front := newTestFront(t, s)
+	f.Starting = func() bool { // called while waiting for the configuration
 		configure(f)
 		return true
 	}
@@ -27,10 +28,10 @@
 	}
 }
 
-// As above, but the configuration is here and the servers' entries come later.
+// As above, but the configuration is present and the servers' entries arrive later.
 func TestRequestWaitsForServersAfterAStart(t *testing.T) {
-	s := startStandIn(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "done") })
-	f, front := gatewayOver(t, s)
+	s := startFakeServer(t, func(c net.Conn, r *http.Request) bool { return respond(c, r, 200, "done") })
+	f, front := newTestFront(t, s)
 	configure(f)
 	pool := f.Local.Pool("svc")
 	pool.Update(placement.Settings{Slots: 8}, nil)
@@ -44,15 +45,15 @@
 	}
 }
 
-// The store stays away after a start. A request waits for its limit and no longer, and one
-// that comes when the instance no longer counts as starting is refused at once.
+// The store stays unreachable after a start. A request waits for its limit and no longer,
+// and one that arrives when the instance is no longer starting is refused at once.
 func TestWaitAfterAStartIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		starting := true
 		f := &Front{Routes: &routes.Table{}, Starting: func() bool { return starting }}
 		before := time.Now()
-		if f.awaitConfig(t.Context()) != nil || time.Since(before) != startWait {
-			t.Errorf("waited %v, want %v", time.Since(before), startWait)
+		if f.awaitConfig(t.Context()) != nil || time.Since(before) != maxStartWait {
+			t.Errorf("waited %v, want %v", time.Since(before), maxStartWait)
 		}
 		starting = false
 		before = time.Now()
