--- a/cmd/basilroute/await.go
+++ b/cmd/basilroute/apply_wait.go
@@ -15,15 +15,15 @@
 	"github.com/basilroute/basilroute/transport/platform"
 )
 
-// applied is a document that the store accepted.
-type applied struct {
+// acceptedDocument is a document whose write the store accepted.
+type acceptedDocument struct {
 	key      string
 	revision int64 // of the store
 }
 
-// revisionBefore returns the newest configuration that any instance has in force
-// before a write; 0 without --wait.
-func revisionBefore(ctx context.Context, command *cli.Command) (int64, error) {
+// newestRevisionInForce returns the newest configuration revision that any instance
+// has in force before a write; 0 without --wait.
+func newestRevisionInForce(ctx context.Context, command *cli.Command) (int64, error) {
 	if !command.Bool("wait") {
 		return 0, nil
 	}
@@ -42,11 +42,11 @@
 	return newest, nil
 }
 
-// neededRank returns the rank that an instance has to have reached to have the
-// documents in force. A write that ranks below what was in force before it shows
-// that the store came back older: the documents then come with the store's next
-// generation, which ok says has begun.
-func neededRank(ctx context.Context, store *platform.Client, documents []applied, before int64) (need int64, ok bool, err error) {
+// requiredRank returns the configuration rank at which an instance has the documents in
+// force. A write that ranks no higher than what was in force before it shows that the
+// store was restored from an older state: the documents are then distributed with the
+// store's next generation. ok reports whether that generation has begun.
+func requiredRank(ctx context.Context, store *platform.Client, documents []acceptedDocument, before int64) (need int64, ok bool, err error) {
 	generations := configwatch.Generations{}
 	kv, err := store.Get(ctx, configwatch.GenerationKey())
 	switch {
@@ -70,31 +70,31 @@
 
 // progress sorts the instances by whether they have documents in force.
 type progress struct {
-	done    int
-	waiting []string // live ones, and unreachable ones that may still be serving
-	left    []string // leaving ones, which take no new work
+	inForce int
+	waiting []string // live instances, and unreachable ones that may still be serving
+	leaving []string // leaving instances, which accept no new work
 }
 
-func (p progress) all() int { return p.done + len(p.waiting) }
+func (p progress) total() int { return p.inForce + len(p.waiting) }
 
-func progressOf(status *operatorapi.Status, documents []applied, need int64) progress {
+func progressOf(status *operatorapi.Status, documents []acceptedDocument, need int64) progress {
 	var p progress
 	for _, i := range status.Instances {
 		switch {
 		case i.State == operatorapi.InstanceStatusStateLeaving:
-			p.left = append(p.left, i.ID)
+			p.leaving = append(p.leaving, i.ID)
 		case i.State == operatorapi.InstanceStatusStateUnreachable:
 			p.waiting = append(p.waiting, i.ID+" (unreachable)")
-		case i.ConfigRevision < need || rejects(&i, documents):
+		case i.ConfigRevision < need || rejectsAny(&i, documents):
 			p.waiting = append(p.waiting, i.ID)
 		default:
-			p.done++
+			p.inForce++
 		}
 	}
 	return p
 }
 
-func rejects(i *operatorapi.InstanceStatus, documents []applied) bool {
+func rejectsAny(i *operatorapi.InstanceStatus, documents []acceptedDocument) bool {
 	for _, d := range documents {
 		if slices.Contains(i.Rejected, d.key) {
 			return true
@@ -103,10 +103,10 @@
 	return false
 }
 
-// awaitInForce waits until every instance has the documents in force. One that
-// is unreachable is waited for as long as the time lasts, since it may be serving
-// callers with the old ones, and is never counted.
-func awaitInForce(ctx context.Context, command *cli.Command, store *platform.Client, documents []applied, before int64) error {
+// awaitInForce waits until every instance has the documents in force. An unreachable
+// instance may still be serving callers with the old documents: it never counts as
+// done and is waited for until the timeout.
+func awaitInForce(ctx context.Context, command *cli.Command, store *platform.Client, documents []acceptedDocument, before int64) error {
 	client, err := openOperator(command)
 	if err != nil {
 		return err
@@ -114,29 +114,29 @@
 	out := command.Root().ErrWriter
 	var last progress
 	for {
-		need, begun, err := neededRank(ctx, store, documents, before)
+		need, begun, err := requiredRank(ctx, store, documents, before)
 		var seen progress
 		if err == nil && begun {
-			seen, err = look(ctx, client, documents, need)
+			seen, err = fetchProgress(ctx, client, documents, need)
 		}
-		if err == nil && begun { // otherwise what was seen last is what there is to tell
+		if err == nil && begun { // otherwise the last known progress is reported
 			last = seen
-			fmt.Fprintf(out, "\r%d of %d instances have it in force", last.done, last.all())
-			if len(last.waiting) == 0 && last.done > 0 {
+			fmt.Fprintf(out, "\r%d of %d instances have it in force", last.inForce, last.total())
+			if len(last.waiting) == 0 && last.inForce > 0 {
 				fmt.Fprintln(out)
 				return nil
 			}
 		}
 		select {
-		case <-time.After(waitPause):
+		case <-time.After(statusPollInterval):
 		case <-ctx.Done():
 			fmt.Fprintln(out)
-			return lacking(last, err)
+			return notInForceError(last, err)
 		}
 	}
 }
 
-func look(ctx context.Context, client *operatorapi.Client, documents []applied, need int64) (progress, error) {
+func fetchProgress(ctx context.Context, client *operatorapi.Client, documents []acceptedDocument, need int64) (progress, error) {
 	status, err := client.GetStatus(ctx)
 	if err != nil {
 		return progress{}, err
@@ -144,13 +144,13 @@
 	return progressOf(status, documents, need), nil
 }
 
-func lacking(p progress, err error) error {
-	if p.all() == 0 {
+func notInForceError(p progress, err error) error {
+	if p.total() == 0 {
 		return errors.CombineErrors(errTimeout, err)
 	}
 	text := fmt.Sprintf("not in force on %s", strings.Join(p.waiting, ", "))
-	if len(p.left) > 0 {
-		text += "; leaving: " + strings.Join(p.left, ", ")
+	if len(p.leaving) > 0 {
+		text += "; leaving: " + strings.Join(p.leaving, ", ")
 	}
 	return errors.Wrap(errTimeout, text)
 }
--- a/cmd/basilroute/await_test.go
+++ b/cmd/basilroute/apply_wait_test.go
@@ -8,11 +8,11 @@
 	"github.com/basilroute/basilroute/protocol/operatorapi"
 )
 
-// An operator applies a document while one instance is cut off, one stops, one
-// lags and one cannot take it. The command may not report it in force for any of
-// them, and has to name all that an operator has to look after.
-func TestProgressCountsOnlyWhoHasItInForce(t *testing.T) {
-	documents := []applied{{key: "config/account/a", revision: 7}}
+// A document is applied while one instance is unreachable, one is leaving, one lags and
+// one rejects the document. The command must not count any of them as done, and its
+// error has to name all of them.
+func TestProgressCountsOnlyInstancesInForce(t *testing.T) {
+	documents := []acceptedDocument{{key: "config/account/a", revision: 7}}
 	status := &operatorapi.Status{Instances: []operatorapi.InstanceStatus{
 		{ID: "has-it", State: operatorapi.InstanceStatusStateLive, ConfigRevision: 7},
 		{ID: "lags", State: operatorapi.InstanceStatusStateLive, ConfigRevision: 6},
@@ -21,10 +21,10 @@
 		{ID: "stops", State: operatorapi.InstanceStatusStateLeaving, ConfigRevision: 7},
 	}}
 	p := progressOf(status, documents, 7)
-	if p.done != 1 || p.all() != 4 {
-		t.Errorf("%d of %d", p.done, p.all())
+	if p.inForce != 1 || p.total() != 4 {
+		t.Errorf("%d of %d", p.inForce, p.total())
 	}
-	err := lacking(p, nil)
+	err := notInForceError(p, nil)
 	const want = "not in force on lags, rejects, cut-off (unreachable); leaving: stops: not in force everywhere in time"
 	if err.Error() != want || exitCode(err) != exitTimeout {
 		t.Errorf("exit code %d: %v", exitCode(err), err)
--- a/cmd/basilroute/capacity.go
+++ b/cmd/basilroute/capacity.go
@@ -14,7 +14,7 @@
 func capacityCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "capacity",
-		Usage:     "work out from benchmarks at several sizes what the sizes of the future take",
+		Usage:     "extrapolate benchmarks that ran at several sizes to the planned fleet size",
 		ArgsUsage: "[FILE]",
 		Description: "Reads the output of `go test -run '^$' -bench Size -benchmem ./...` from the file or standard input,\n" +
 			"fits a line to each metric and prints a table in markdown.",
--- a/cmd/basilroute/demo.go
+++ b/cmd/basilroute/demo.go
@@ -58,12 +58,12 @@
 `,
 }
 
-// demo is the running fleet and what the walk through it needs.
+// demo is the running fleet with the state of the demo's steps.
 type demo struct {
 	fleet *localfleet.Fleet
 	out   io.Writer
-	url   string // of the instance used, for callers
-	admin string
+	url   string // callers' URL of the instance used
+	admin string // operators' URL of the same instance
 	key   string
 	rows  [][2]string
 }
@@ -103,7 +103,7 @@
 
 func (d *demo) walk(ctx context.Context) error {
 	for _, step := range []func(context.Context) error{
-		d.configure, d.streamAnswer, d.runOperation, d.withdrawnKey, d.tooMuch,
+		d.configure, d.streamAnswer, d.runOperation, d.withdrawnKey, d.oversizedRequest,
 	} {
 		if err := step(ctx); err != nil {
 			return err
@@ -127,14 +127,14 @@
 	err := d.fleet.Await(ctx, func(i *instance.Instance) bool {
 		return i.Ready() && i.Serves("notice-writer") && i.Serves("recall-ledger") && i.CanCharge("suva-grocers", demoCost)
 	})
-	d.note("instances ready in three regions", fmt.Sprintf("%d, after %s", len(d.fleet.Instances), time.Since(start).Round(time.Millisecond)))
+	d.addRow("instances ready in three regions", fmt.Sprintf("%d, after %s", len(d.fleet.Instances), time.Since(start).Round(time.Millisecond)))
 	return err
 }
 
-// demoCost is the tokens that the demo's largest request may use.
+// demoCost is an upper bound on the tokens of the demo's largest request.
 const demoCost = 200
 
-func (d *demo) note(what, seen string) { d.rows = append(d.rows, [2]string{what, seen}) }
+func (d *demo) addRow(what, seen string) { d.rows = append(d.rows, [2]string{what, seen}) }
 
 func (d *demo) post(ctx context.Context, path, body string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, d.url+path, bytes.NewBufferString(body))
@@ -170,7 +170,7 @@
 		}
 	}
 	fmt.Fprintf(d.out, "\n\n")
-	d.note("streamed answer", fmt.Sprintf("status %d, %d events, the first after %s", resp.StatusCode, count, first.Round(time.Millisecond)))
+	d.addRow("streamed answer", fmt.Sprintf("status %d, %d events, the first after %s", resp.StatusCode, count, first.Round(time.Millisecond)))
 	return lines.Err()
 }
 
@@ -181,7 +181,7 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	d.note("plain operation that may not be repeated", fmt.Sprintf("status %d, %s", resp.StatusCode, body))
+	d.addRow("plain operation that may not be repeated", fmt.Sprintf("status %d, %s", resp.StatusCode, body))
 	return err
 }
 
@@ -203,7 +203,7 @@
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusUnauthorized {
-			d.note("withdrawn key", fmt.Sprintf("status %d after %s", resp.StatusCode, time.Since(start).Round(time.Millisecond)))
+			d.addRow("withdrawn key", fmt.Sprintf("status %d after %s", resp.StatusCode, time.Since(start).Round(time.Millisecond)))
 			d.key = next
 			return nil
 		}
@@ -213,14 +213,14 @@
 	}
 }
 
-func (d *demo) tooMuch(ctx context.Context) error {
+func (d *demo) oversizedRequest(ctx context.Context) error {
 	resp, err := d.post(ctx, "/v1/completions", `{"model":"notice-writer","prompt":"x","max_tokens":100000}`)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	d.note("request over the service's limit", fmt.Sprintf("status %d, %s", resp.StatusCode, body))
+	d.addRow("request over the service's limit", fmt.Sprintf("status %d, %s", resp.StatusCode, body))
 	return err
 }
 
--- a/cmd/basilroute/documents.go
+++ b/cmd/basilroute/documents.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	storeTimeout = 5 * time.Second
-	applyTimeout = 30 * time.Second
-	waitPause    = 200 * time.Millisecond
+	storeTimeout       = 5 * time.Second
+	applyTimeout       = 30 * time.Second
+	statusPollInterval = 200 * time.Millisecond
 )
 
 func platformFlag() cli.Flag {
@@ -64,7 +64,7 @@
 
 func validateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "validate", Usage: "check documents and print every finding with its place", ArgsUsage: "FILE...",
+		Name: "validate", Usage: "check documents and print every finding with its line and column", ArgsUsage: "FILE...",
 		Flags: []cli.Flag{&cli.BoolFlag{Name: "instance", Usage: "the files hold instance settings"}},
 		Action: func(_ context.Context, command *cli.Command) error {
 			files := command.Args().Slice()
@@ -107,8 +107,8 @@
 		Name: "apply", Usage: "bring documents into force", ArgsUsage: "FILE...",
 		Flags: []cli.Flag{
 			platformFlag(), operatorFlag(), tokenFlag(), caFlag(),
-			&cli.Int64Flag{Name: "expect", Value: -1, Usage: "revision that the document must have; the one found when not given"},
-			&cli.BoolFlag{Name: "wait", Usage: "wait until every instance has it in force (needs --instance)"},
+			&cli.Int64Flag{Name: "expect", Value: -1, Usage: "revision that the stored document must have (default: its current revision)"},
+			&cli.BoolFlag{Name: "wait", Usage: "wait until every instance has the documents in force (needs --instance)"},
 			&cli.DurationFlag{Name: "timeout", Value: applyTimeout, Usage: "how long to wait"},
 		},
 		Action: apply,
@@ -126,17 +126,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, command.Duration("timeout"))
 	defer cancel()
-	before, err := revisionBefore(ctx, command)
+	before, err := newestRevisionInForce(ctx, command)
 	if err != nil {
 		return err
 	}
-	accepted := make([]applied, len(documents))
+	accepted := make([]acceptedDocument, len(documents))
 	for n, d := range documents {
-		revision, err := put(ctx, store, d, contents[n], command.Int64("expect"))
+		revision, err := putDocument(ctx, store, d, contents[n], command.Int64("expect"))
 		if err != nil {
 			return errors.Wrapf(err, "%s %s", d.Kind, d.Name)
 		}
-		accepted[n] = applied{key: d.Key(), revision: revision}
+		accepted[n] = acceptedDocument{key: d.Key(), revision: revision}
 		fmt.Fprintf(command.Root().Writer, "%s %s: accepted at revision %d\n", d.Kind, d.Name, revision)
 	}
 	if command.Bool("wait") {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-func put(ctx context.Context, store *platform.Client, d *service.Document, content []byte, expect int64) (int64, error) {
-	current, err := standing(ctx, store, d.Key())
+func putDocument(ctx context.Context, store *platform.Client, d *service.Document, content []byte, expect int64) (int64, error) {
+	current, err := readCurrent(ctx, store, d.Key())
 	if err != nil {
 		return 0, err
 	}
@@ -156,9 +156,9 @@
 	return store.Put(ctx, platform.Write{Key: d.Key(), Value: content, ExpectRevision: expect, AfterNonce: current.Nonce})
 }
 
-// standing reads what a write of the key replaces: a value, or a deletion, which
-// counts as revision 0 but whose nonce the write has to come after.
-func standing(ctx context.Context, store *platform.Client, key string) (platform.KeyValue, error) {
+// readCurrent reads what a write of the key replaces: a value or a deletion. A deletion
+// counts as revision 0, but the nonce of the write has to be newer than its nonce.
+func readCurrent(ctx context.Context, store *platform.Client, key string) (platform.KeyValue, error) {
 	current, err := store.Get(ctx, key)
 	if !errors.Is(err, platform.ErrNotFound) {
 		return current, err
@@ -177,7 +177,7 @@
 
 func getCommand() *cli.Command {
 	return &cli.Command{
-		Name: "get", Usage: "print a document as it stands in the store", ArgsUsage: "KIND [NAME]",
+		Name: "get", Usage: "print a document as it is stored", ArgsUsage: "KIND [NAME]",
 		Flags: []cli.Flag{platformFlag()},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			store, err := openStore(command)
--- a/cmd/basilroute/explain.go
+++ b/cmd/basilroute/explain.go
@@ -16,10 +16,10 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "print one request's story from the logs of several instances, in order of time",
+		Usage:     "print the trace of one request from the logs of several instances, in order of time",
 		ArgsUsage: "REQUEST-ID [LOG...]",
 		Description: "Reads JSON lines as basilrouted platform writes them, from the files or from standard input.\n" +
-			"Lines that other programs put in front of the JSON are passed over up to its first brace.",
+			"Text before the first brace of a line, such as the prefix of a log collector, is ignored.",
 		Action: func(_ context.Context, command *cli.Command) error {
 			id := command.Args().First()
 			if id == "" {
@@ -33,12 +33,12 @@
 			if len(lines) == 0 {
 				return errors.Newf("no line names request %s", id)
 			}
-			return printStory(command.Root().Writer, lines)
+			return printTrace(command.Root().Writer, lines)
 		},
 	}
 }
 
-func printStory(out io.Writer, lines []logLine) error {
+func printTrace(out io.Writer, lines []logLine) error {
 	slices.SortStableFunc(lines, func(a, b logLine) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
 	for _, line := range lines {
 		var fields []string
--- a/cmd/basilroute/explain_test.go
+++ b/cmd/basilroute/explain_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// The lines are recorded ones, of two instances in one file, with what a collector puts
-// in front of each. The story is in order of time, also where a line was written later
-// than the step it tells of.
+// The log lines were recorded from two instances, in one file, with the prefix of a log
+// collector. The trace is in order of the steps' times, also where a line was written
+// later than the step that it describes.
 func TestExplainRecordedLines(t *testing.T) {
 	out, problems, code := runCLI(t, "explain", "c11716742e54bcdd", "testdata/story.log")
 	if code != 0 {
--- a/cmd/basilroute/keys.go
+++ b/cmd/basilroute/keys.go
@@ -27,7 +27,7 @@
 				Flags: []cli.Flag{platformFlag()}, Action: issueKey,
 			},
 			{
-				Name: "withdraw", Usage: "make a key unusable for good", ArgsUsage: "KEY-ID",
+				Name: "withdraw", Usage: "withdraw a key permanently", ArgsUsage: "KEY-ID",
 				Flags: []cli.Flag{operatorFlag(), tokenFlag(), caFlag()}, Action: withdrawKey,
 			},
 			{
@@ -64,8 +64,8 @@
 	return err
 }
 
-// addKey writes the key into the text of an account document and keeps the rest
-// as its team wrote it.
+// addKey inserts the key into the text of an account document and keeps the rest of
+// the text unchanged.
 func addKey(document string, key service.Key) string {
 	item := fmt.Sprintf("  - id: %s\n    sha256: %s\n", key.ID, key.SHA256)
 	var b strings.Builder
@@ -93,12 +93,12 @@
 	if err != nil {
 		return errors.Wrap(err, "withdraw")
 	}
-	fmt.Fprintf(command.Root().Writer, "%s: withdrawn here and on %d peers, in the store: %t\n", done.ID, done.Peers, done.Stored)
+	fmt.Fprintf(command.Root().Writer, "%s: withdrawn on this instance and on %d peers, stored: %t\n", done.ID, done.Peers, done.Stored)
 	return nil
 }
 
-// listKeys prints each key with its account. The id of a key that was withdrawn
-// stays in the list for good, since it cannot be issued again.
+// listKeys prints each key with its account. The id of a withdrawn key stays in the
+// list permanently, since it cannot be issued again.
 func listKeys(ctx context.Context, command *cli.Command) error {
 	store, err := openStore(command)
 	if err != nil {
@@ -126,7 +126,7 @@
 		case service.KindAccount:
 			d, err := service.Parse(kv.Key, kv.Value)
 			if err != nil || d.Account == nil {
-				continue // status shows the finding
+				continue // the status command shows the finding
 			}
 			for _, key := range d.Account.Keys {
 				owner[key.ID] = name
--- a/cmd/basilroute/load.go
+++ b/cmd/basilroute/load.go
@@ -14,19 +14,19 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "load",
-		Usage:     "put open-loop load on a fleet and measure what callers see",
+		Usage:     "send open-loop load to a fleet and measure the responses that callers get",
 		ArgsUsage: "[MIX-FILE]",
 		Description: "Without --demo, the mix file names the accounts and their keys, and --url any of the instances.\n" +
 			"With --demo, a deployment of examples/ runs in this process and its own mix is used unless a file is given.\n" +
 			"With --overhead, two instances and one engine run in this process, and the same requests go straight to the\n" +
-			"engine, through an instance beside it, and through one that forwards them.",
+			"engine, through an instance in its failure domain, and through one that forwards them.",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "url", Usage: "URL of an instance for callers; may be given more than once"},
 			&cli.StringFlag{Name: "demo", Usage: "run recall-desk or guild in this process"},
 			&cli.BoolFlag{Name: "overhead", Usage: "compare with calls straight to the engine"},
-			&cli.Int64Flag{Name: "seed", Usage: "in place of the mix's seed"},
-			&cli.FloatFlag{Name: "rate", Usage: "in place of the mix's requests per second"},
-			&cli.DurationFlag{Name: "duration", Usage: "in place of the mix's duration"},
+			&cli.Int64Flag{Name: "seed", Usage: "overrides the mix's seed"},
+			&cli.FloatFlag{Name: "rate", Usage: "overrides the mix's requests per second"},
+			&cli.DurationFlag{Name: "duration", Usage: "overrides the mix's duration"},
 			outputFlag(),
 		},
 		Action: runLoad,
@@ -76,7 +76,8 @@
 	return []loadgen.Arm{{Name: "gateway", Target: loadgen.NewGateway(ctx, mix, seeds, transport)}}
 }
 
-// loadMix reads the mix from the file given, or takes the one of the mode.
+// loadMix reads the mix from the given file, or returns the default mix of the mode
+// (--overhead or --demo).
 func loadMix(command *cli.Command) (*loadgen.Mix, error) {
 	file := command.Args().First()
 	var data []byte
@@ -89,7 +90,7 @@
 	case command.String("demo") != "":
 		file, data, err = deploymentMix(command.String("demo"))
 	default:
-		return nil, errors.New("name a file with the mix")
+		return nil, errors.New("a mix file is required without --demo and --overhead")
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "mix")
--- a/cmd/basilroute/loadfleet.go
+++ b/cmd/basilroute/loadfleet.go
@@ -23,8 +23,8 @@
 	mixFile       = "load.yaml"
 )
 
-// deployments are the sizes of the examples: entry instances and backend
-// servers of each failure domain.
+// deployments are the sizes of the example deployments: the entry instances and
+// backend servers of each failure domain.
 var deployments = map[string]localfleet.Config{
 	"recall-desk": {
 		ModelService: "notice-writer", PlainService: "recall-ledger",
@@ -63,8 +63,8 @@
 	return name + "/" + mixFile, data, err
 }
 
-// startDeployment runs an example in this process and gives the accounts of the
-// mix fresh keys. It returns the instances' URLs for callers.
+// startDeployment runs an example deployment in this process and issues a new key to
+// each account of the mix. It returns the instances' URLs for callers.
 func startDeployment(ctx context.Context, name string, mix *loadgen.Mix) (*localfleet.Fleet, []string, error) {
 	files, err := deploymentFiles(name)
 	if err != nil {
@@ -139,7 +139,7 @@
 	})
 }
 
-// withLoadKey adds a fresh key to the document of an account in the mix.
+// withLoadKey adds a new key to the document of an account in the mix.
 func withLoadKey(document string, mix *loadgen.Mix) string {
 	d, err := service.Parse("", []byte(document))
 	if err != nil || d.Account == nil {
--- a/cmd/basilroute/logs.go
+++ b/cmd/basilroute/logs.go
@@ -17,26 +17,26 @@
 	Instance string
 	Event    string
 	Request  string
-	Fields   map[string]any // the others
+	Fields   map[string]any // all other fields
 }
 
-// text returns a field that is a string, empty where it is missing.
+// text returns a string field, empty if it is missing.
 func (l *logLine) text(key string) string {
-	value, _ := l.Fields[key].(string) // empty when it is missing
+	value, _ := l.Fields[key].(string)
 	return value
 }
 
-// number returns a field that is a number, 0 where it is missing.
+// number returns a numeric field, 0 if it is missing.
 func (l *logLine) number(key string) float64 {
-	value, _ := l.Fields[key].(float64) // 0 when it is missing
+	value, _ := l.Fields[key].(float64)
 	return value
 }
 
 // maxLogLine bounds a line, in bytes.
 const maxLogLine = 1 << 20
 
-// readLogs reads the lines that name a request and that keep wants, from the files or,
-// when there are none, from standard input.
+// readLogs reads the lines that name a request and for which keep returns true, from
+// the files or, without files, from standard input.
 func readLogs(files []string, keep func(line string) bool) ([]logLine, error) {
 	if len(files) == 0 {
 		return readLog(os.Stdin, keep)
@@ -57,12 +57,12 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "log")
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	return readLog(file, keep)
 }
 
-// readLog passes over lines that are no JSON: logs of several programs may stand in one
-// file.
+// readLog skips lines that are not JSON, since one file may hold the logs of several
+// programs.
 func readLog(in io.Reader, keep func(line string) bool) ([]logLine, error) {
 	var out []logLine
 	scanner := bufio.NewScanner(in)
@@ -76,7 +76,7 @@
 		if err := json.Unmarshal([]byte(scanner.Text()[at:]), &fields); err != nil || fields["request"] == nil {
 			continue
 		}
-		line, err := lineOf(fields)
+		line, err := parseLine(fields)
 		if err != nil {
 			return nil, errors.Wrapf(err, "line %q", scanner.Text())
 		}
@@ -85,9 +85,10 @@
 	return out, errors.Wrap(scanner.Err(), "log")
 }
 
-// lineOf takes what every line has out of the fields. Stories are written when a request
-// has ended: "at" says when a step was.
-func lineOf(fields map[string]any) (logLine, error) {
+// parseLine moves the fields that every line has from Fields to their own members. Request
+// traces are written when the request has ended, so the time of a step is its "at" field
+// if there is one.
+func parseLine(fields map[string]any) (logLine, error) {
 	line := logLine{Fields: fields}
 	line.Instance, line.Event, line.Request = line.text("instance"), line.text("msg"), line.text("request")
 	when := line.text("at")
--- a/cmd/basilroute/losses.go
+++ b/cmd/basilroute/losses.go
@@ -20,12 +20,12 @@
 func lossesCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "losses",
-		Usage:     "count from logs what became of requests that were not served in time, by reason, route, moment and server",
+		Usage:     "count the requests in logs that were not served in time, by reason, route, time window and server",
 		ArgsUsage: "[LOG...]",
 		Description: "Reads JSON lines as basilrouted platform writes them, from the files or from standard input.\n" +
-			"Of requests that were served in time only a sample is logged; they are not counted.",
+			"Requests that were served in time are not counted, since only a sample of them is logged.",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "window", Value: defaultWindow, Usage: "length of a moment"},
+			&cli.DurationFlag{Name: "window", Value: defaultWindow, Usage: "length of a time window"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			window := command.Duration("window")
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			return printLosses(command.Root().Writer, lossesOf(lines), window)
+			return printLosses(command.Root().Writer, findLosses(lines), window)
 		},
 	}
 }
@@ -46,11 +46,11 @@
 	at     time.Time // when it was admitted
 	route  string
 	reason string
-	server string // the last one that had it; empty when none had
+	server string // last server or region that got it; empty if none did
 }
 
-// lossesOf returns the lost requests of the lines, in order of time.
-func lossesOf(lines []logLine) []loss {
+// findLosses returns the lost requests of the lines, in order of time.
+func findLosses(lines []logLine) []loss {
 	byRequest := make(map[string][]logLine)
 	for _, l := range lines {
 		byRequest[l.Request] = append(byRequest[l.Request], l)
@@ -58,7 +58,7 @@
 	var out []loss
 	for _, story := range byRequest {
 		slices.SortStableFunc(story, func(a, b logLine) int { return a.Time.Compare(b.Time) })
-		if l, lost := lossOf(story); lost {
+		if l, lost := classifyLoss(story); lost {
 			out = append(out, l)
 		}
 	}
@@ -66,8 +66,9 @@
 	return out
 }
 
-// lossOf tells what became of one request.
-func lossOf(story []logLine) (loss, bool) {
+// classifyLoss returns how a request was lost, and false if it was served in time. The trace
+// is in order of time.
+func classifyLoss(story []logLine) (loss, bool) {
 	l := loss{at: story[0].Time, route: "-"}
 	var objective, gap float64
 	for i := range story {
@@ -85,7 +86,7 @@
 	switch end.Event {
 	case "request_served":
 		l.server = cmp.Or(end.text("server"), l.server)
-		l.reason = lateness(end, objective, gap)
+		l.reason = lateReason(end, objective, gap)
 	case "request_refused", "request_cut":
 		l.reason = strings.TrimPrefix(end.Event, "request_") + ": " + end.text("reason")
 	default:
@@ -94,8 +95,8 @@
 	return l, l.reason != ""
 }
 
-// lateness returns why a served answer was late, empty when it was not.
-func lateness(end *logLine, objective, gap float64) string {
+// lateReason returns why a served response was late, empty if it was not.
+func lateReason(end *logLine, objective, gap float64) string {
 	switch {
 	case objective > 0 && end.number("first_byte_ms") > objective:
 		return "late: first byte"
--- a/cmd/basilroute/losses_test.go
+++ b/cmd/basilroute/losses_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The lines are recorded ones of seven requests that were lost in different ways and of one
-// that was served in time, which counts nowhere.
+// The recorded lines are of seven requests that were lost in different ways and of one
+// that was served in time, which must not be counted.
 func TestLossesOfRecordedLines(t *testing.T) {
 	out, problems, code := runCLI(t, "losses", "--window", "1m", "testdata/losses.log")
 	if code != 0 {
@@ -25,10 +25,10 @@
 			t.Errorf("missing %q in:\n%s", want, out)
 		}
 	}
-	if len(rows) != 7+6+6+3 { // routes, moments, servers, and the heads
+	if len(rows) != 7+6+6+3 { // routes, time windows, servers, and the three headers
 		t.Errorf("%d rows:\n%s", len(rows), out)
 	}
 	if _, _, code := runCLI(t, "losses", "--window", "0s", "testdata/losses.log"); code == 0 {
-		t.Error("a window of no length is taken")
+		t.Error("a window of 0 s is accepted")
 	}
 }
--- a/cmd/basilroute/main.go
+++ b/cmd/basilroute/main.go
@@ -1,5 +1,5 @@
-// Command basilroute is for operators and teams: it checks and applies
-// documents, issues and withdraws keys, shows the state of the fleet, and runs
+// Command basilroute is the command-line tool for operators and teams: it checks and
+// applies documents, issues and withdraws keys, shows the state of the fleet, and runs
 // the demo and the stand-ins.
 package main
 
@@ -20,8 +20,8 @@
 // Exit codes.
 const (
 	exitFailed   = 1
-	exitFindings = 2 // a document or settings file does not pass its checks
-	exitConflict = 3 // somebody else changed the document first
+	exitFindings = 2 // a document or settings file is invalid
+	exitConflict = 3 // the document was changed concurrently
 	exitTimeout  = 4 // not in force everywhere in time
 )
 
--- a/cmd/basilroute/main_test.go
+++ b/cmd/basilroute/main_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// What a script reads stands on standard output alone; findings do not.
-func TestFindingsDoNotMixWithOutput(t *testing.T) {
+// Scripts read standard output, so findings go to standard error only.
+func TestFindingsGoToStandardError(t *testing.T) {
 	good := write(t, "good.yaml", "kind: service\nname: a\n")
 	bad := write(t, "bad.yaml", "kind: service\nname: A\nx: 1\n")
 	out, problems, _ := runCLI(t, "validate", good, bad)
@@ -77,7 +77,7 @@
 	}
 }
 
-// Wrong usage is an error like any other: told on standard error, with code 1.
+// Wrong usage is reported on standard error with exit code 1, like any other error.
 func TestWrongUsage(t *testing.T) {
 	for _, args := range [][]string{
 		{"nonsense"}, {"keys", "nonsense"}, {"status", "--nonsense"}, {"apply", "x"}, {"load", "--rate", "many"}, {"standin", "engine"},
--- a/cmd/basilroute/operate.go
+++ b/cmd/basilroute/operator.go
@@ -31,7 +31,7 @@
 
 func caFlag() cli.Flag {
 	return &cli.StringFlag{
-		Name: "ca", Usage: "file with the certificates that the instance's own is checked with",
+		Name: "ca", Usage: "file with the CA certificates that verify the instance's certificate",
 		Sources: cli.EnvVars("BASILROUTE_CA"),
 	}
 }
@@ -108,7 +108,7 @@
 
 func stateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "state", Usage: "look into an instance",
+		Name: "state", Usage: "inspect the state of an instance",
 		Commands: []*cli.Command{{
 			Name: "dump", Usage: "print the instance's state as JSON",
 			Flags: []cli.Flag{operatorFlag(), tokenFlag(), caFlag()},
@@ -137,7 +137,7 @@
 
 func entriesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "entries", Usage: "ask which instances a caller should use",
+		Name: "entries", Usage: "list the instances that a caller should use",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "url", Required: true, Usage: "URL of any instance for callers"},
 			&cli.StringFlag{Name: "key", Required: true, Usage: "the caller's key", Sources: cli.EnvVars("BASILROUTE_KEY")},
--- a/cmd/basilroute/overhead.go
+++ b/cmd/basilroute/overhead.go
@@ -18,7 +18,8 @@
 	armForwarded = "forwarded"
 )
 
-// overheadMix leaves the engine idle between requests, so that no queue is measured.
+// overheadMix leaves the engine idle between requests, so that no queueing delay is
+// measured.
 const overheadMix = `seed: 1
 rate: 60
 duration: 30s
@@ -37,9 +38,9 @@
 	"kind: account\nname: overhead\nrate: 1000000\nburst: 10000000\n",
 }
 
-// overheadEngine answers without any pause: short pauses last from a tenth of a
-// millisecond to one, depending on what else the machine does, and would hide
-// what the gateway adds.
+// overheadEngine responds without any delay: the duration of a short sleep varies
+// between 0.1 and 1 ms with the load of the machine, which would hide the overhead of
+// the gateway.
 func overheadEngine() engine.Config {
 	config := engine.DefaultConfig()
 	config.PrefillRate, config.MaxBatch = 1e12, 64
@@ -60,14 +61,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	through := func(id string) loadgen.Target {
+	gatewayTarget := func(id string) loadgen.Target {
 		callers, _, _ := fleet.Instances[id].Addresses()
 		return loadgen.NewFixedGateway(mix, "http://"+callers, transport)
 	}
 	return fleet, []loadgen.Arm{
 		{Name: armDirect, Target: &loadgen.Engine{Client: &http.Client{Transport: transport}, URL: fleet.Backends["beside-engine-1"]}},
-		{Name: armGateway, Target: through("beside-entry-1")},
-		{Name: armForwarded, Target: through("away-entry-1")},
+		{Name: armGateway, Target: gatewayTarget("beside-entry-1")},
+		{Name: armForwarded, Target: gatewayTarget("away-entry-1")},
 	}, nil
 }
 
@@ -85,13 +86,13 @@
 	for _, name := range []string{armGateway, armForwarded} {
 		row := rows[name]
 		lines = append(lines, fmt.Sprintf("%-24s %s %s %s %s", name,
-			against(row.FirstToken.P50, direct.FirstToken.P50), against(row.FirstToken.P99, direct.FirstToken.P99),
-			against(row.ResponseTime.P50, direct.ResponseTime.P50), against(row.ResponseTime.P99, direct.ResponseTime.P99)))
+			formatOverhead(row.FirstToken.P50, direct.FirstToken.P50), formatOverhead(row.FirstToken.P99, direct.FirstToken.P99),
+			formatOverhead(row.ResponseTime.P50, direct.ResponseTime.P50), formatOverhead(row.ResponseTime.P99, direct.ResponseTime.P99)))
 	}
 	return lines
 }
 
-// against gives the ratio and the difference of two durations in microseconds.
-func against(a, b int64) string {
+// formatOverhead returns the ratio and the difference of two durations in microseconds.
+func formatOverhead(a, b int64) string {
 	return fmt.Sprintf("%8.2f (%+7.0f us)", float64(a)/float64(max(b, 1)), float64(a-b))
 }
--- a/cmd/basilroute/standin.go
+++ b/cmd/basilroute/standin.go
@@ -16,7 +16,7 @@
 	"github.com/basilroute/basilroute/yamldoc"
 )
 
-// standinSettings is the file that the platform stand-in reads.
+// standinSettings is the configuration file of the platform stand-in.
 type standinSettings struct {
 	Instances []listedInstance `yaml:"instances"`
 }
@@ -34,7 +34,7 @@
 func standinCommand() *cli.Command {
 	listen := &cli.StringFlag{Name: "listen", Required: true, Usage: "IP:port"}
 	return &cli.Command{
-		Name: "standin", Usage: "run a stand-in of an outside system, with faults set on /admin/faults",
+		Name: "standin", Usage: "run a stand-in of an external system, with faults set on /admin/faults",
 		Commands: []*cli.Command{
 			{
 				Name: "platform", Usage: "key-value service, list of instances, directory",
--- a/cmd/basilroute/usage.go
+++ b/cmd/basilroute/usage.go
@@ -7,9 +7,9 @@
 	"github.com/urfave/cli/v3"
 )
 
-// strictUsage makes a command and all below it report wrong usage as an error.
-// The library would print help on standard output, which scripts read, and end
-// the process with its own code 3 for an unknown command.
+// strictUsage makes a command and all its subcommands report wrong usage as an error.
+// By default the library prints help on standard output, which scripts read, and exits
+// with code 3 for an unknown command.
 func strictUsage(command *cli.Command) *cli.Command {
 	command.OnUsageError = func(_ context.Context, at *cli.Command, err error, _ bool) error {
 		return errors.Newf("%v; see %s --help", err, at.FullName())
--- a/cmd/basilrouted/main.go
+++ b/cmd/basilrouted/main.go
@@ -1,5 +1,5 @@
-// Command basilrouted is the entry instance: it answers callers, decides where
-// their requests run, and dispatches them.
+// Command basilrouted runs an entry instance: it accepts callers' requests, decides
+// where they run, and dispatches them.
 package main
 
 import (
@@ -22,15 +22,15 @@
 // Exit codes.
 const (
 	exitFailed   = 1
-	exitSettings = 2 // the settings do not pass their checks
+	exitSettings = 2 // the settings are invalid
 )
 
 func main() {
 	command := &cli.Command{
 		Name:  "basilrouted",
 		Usage: "run an entry instance of basilroute",
-		Description: "Exit codes: 0 stopped as planned or settings valid, 1 failed, 2 findings in the settings.\n" +
-			"SIGTERM and SIGINT stop it as planned, SIGUSR1 writes its state to the log.",
+		Description: "Exit codes: 0 graceful shutdown or settings valid, 1 failed, 2 findings in the settings.\n" +
+			"SIGTERM and SIGINT shut it down gracefully, SIGUSR1 writes its state to the log.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "config", Usage: "YAML file with the instance's settings"},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
@@ -85,7 +85,7 @@
 			return err
 		case s := <-signals:
 			if s != syscall.SIGUSR1 {
-				return stop(ctx, i, signals)
+				return shutDown(ctx, i, signals)
 			}
 			dump, err := json.Marshal(i.Dump())
 			log.Info("state", "dump", json.RawMessage(dump), "error", err)
@@ -93,10 +93,11 @@
 	}
 }
 
-// stop runs the planned stop. A second signal to stop cuts what is in flight.
-func stop(ctx context.Context, i *instance.Instance, signals <-chan os.Signal) error {
-	ctx, cut := context.WithCancel(ctx)
-	defer cut()
+// shutDown shuts the instance down gracefully. A second SIGTERM or SIGINT aborts the
+// requests that are still in flight.
+func shutDown(ctx context.Context, i *instance.Instance, signals <-chan os.Signal) error {
+	ctx, abort := context.WithCancel(ctx)
+	defer abort()
 	stopped := make(chan error, 1)
 	go func() { stopped <- i.Stop(ctx) }()
 	for {
@@ -105,7 +106,7 @@
 			return err
 		case s := <-signals:
 			if s != syscall.SIGUSR1 {
-				cut()
+				abort()
 			}
 		}
 	}
@@ -113,7 +114,7 @@
 
 func newLogger(settings instance.Log) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(settings.Level)) // checked with the settings
+	_ = level.UnmarshalText([]byte(settings.Level)) // validated by ParseSettings
 	options := &slog.HandlerOptions{Level: level}
 	if settings.Format == "json" {
 		return slog.New(slog.NewJSONHandler(os.Stderr, options))
