--- a/e2e/cache_test.go
+++ b/e2e/cache_test.go
@@ -5,15 +5,16 @@
 	"path/filepath"
 	"testing"
 
-	// go test keeps a result until a package that the test imports changes. These
-	// tests run binaries that it does not see, so without this import, which reaches
-	// all of the product but its commands, it would report an old result for new code.
+	// go test caches a result until a package that the test imports changes. These
+	// tests run binaries that go test does not track. This import covers all packages
+	// except the commands, so that a change of the code invalidates the cached result.
 	_ "github.com/basilroute/basilroute/localfleet"
 )
 
-// Reading the commands' sources makes go test run these tests again when one
-// changes, as the import above does for the packages.
-func TestResultsFollowTheCommands(t *testing.T) {
+// go test records the files that a test opens: reading the commands' sources
+// invalidates the cached result when one of them changes, as the import above does
+// for the packages.
+func TestCommandSourcesAreTestInputs(t *testing.T) {
 	sources, err := filepath.Glob("../cmd/*/*.go")
 	if err != nil || len(sources) == 0 {
 		t.Fatalf("no sources of the commands: %v", err)
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -23,9 +23,9 @@
 
 const orderPath = "/v1/services/recall-ledger/operations/withdraw-batch"
 
-// twoDomains starts a small fleet: suva-a-1 has two instances, an engine and a
-// plain service; suva-a-2 has one instance, which forwards everything. The links
-// to the instances of suva-a-1 and from suva-a-2 to the platform are relays.
+// twoDomains is a small fleet: suva-a-1 has two instances, an engine and a plain
+// service; suva-a-2 has one instance, which forwards every request. The links to
+// the instances of suva-a-1 and from suva-a-2 to the platform go through relays.
 type twoDomains struct {
 	*fleet
 	key      string
@@ -34,27 +34,27 @@
 }
 
 const (
-	near1 = "suva-a-1-entry-1"
-	near2 = "suva-a-1-entry-2"
-	far   = "suva-a-2-entry-1"
+	backendEntry1 = "suva-a-1-entry-1"
+	backendEntry2 = "suva-a-1-entry-2"
+	remoteEntry   = "suva-a-2-entry-1"
 )
 
 func startTwoDomains(t *testing.T) *twoDomains {
 	f := &twoDomains{fleet: newFleet(t), links: make(map[string]*relay)}
 	f.addBackend("engine", "engine", "notice-writer", "suva-a", "suva-a-1")
 	f.addBackend("plain", "ledger", "recall-ledger", "suva-a", "suva-a-1")
-	for _, id := range []string{near1, near2} {
-		m := &member{host: f.host(), region: "suva-a", domain: "suva-a-1"}
-		m.advertise = fmt.Sprintf("%s:%d", f.host(), peersPort)
+	for _, id := range []string{backendEntry1, backendEntry2} {
+		m := &member{host: f.nextAddress(), region: "suva-a", domain: "suva-a-1"}
+		m.advertise = fmt.Sprintf("%s:%d", f.nextAddress(), peersPort)
 		f.links[id] = newRelay(t, m.advertise, fmt.Sprintf("%s:%d", m.host, peersPort))
 		f.instances[id] = m
 		f.listInstance(id, m, m.advertise)
 	}
-	f.addInstance(far, "suva-a", "suva-a-2")
+	f.addInstance(remoteEntry, "suva-a", "suva-a-2")
 	f.startPlatform()
-	address := fmt.Sprintf("%s:%d", f.host(), backendPort)
+	address := fmt.Sprintf("%s:%d", f.nextAddress(), backendPort)
 	f.platform = newRelay(t, address, strings.TrimPrefix(f.fleet.platform, "http://"))
-	f.instances[far].platform = "http://" + address
+	f.instances[remoteEntry].platform = "http://" + address
 	f.startInstances()
 	document, key := account("suva-grocers", "", 200000, 2000000)
 	f.key = key
@@ -66,7 +66,7 @@
 		}
 		return true
 	})
-	f.mustCLI("apply", "--wait", "--instance", f.instances[near1].operator(),
+	f.mustCLI("apply", "--wait", "--instance", f.instances[backendEntry1].operator(),
 		f.write("fleet", twoDomainsDocument), f.write("model", modelDocument), f.write("ledger", ledgerDocument), f.write("account", document))
 	for _, m := range f.instances {
 		f.awaitServed(m, key, "/v1/completions", completion("warm", 1, false))
@@ -96,7 +96,7 @@
 	return resp.StatusCode, string(answer)
 }
 
-func (f *twoDomains) fault(base, faults string) {
+func (f *twoDomains) setFaults(base, faults string) {
 	f.t.Helper()
 	req, err := http.NewRequestWithContext(f.t.Context(), http.MethodPut, base+"/admin/faults", strings.NewReader(faults))
 	if err != nil {
@@ -109,7 +109,7 @@
 	_ = resp.Body.Close()
 }
 
-func (f *twoDomains) read(url string, into any) {
+func (f *twoDomains) getJSON(url string, into any) {
 	f.t.Helper()
 	resp, err := http.Get(url)
 	if err != nil {
@@ -124,21 +124,21 @@
 func (f *twoDomains) runs(id string) int {
 	f.t.Helper()
 	runs := make(map[string]int)
-	f.read(f.backends["ledger"]+"/admin/runs", &runs)
+	f.getJSON(f.backends["ledger"]+"/admin/runs", &runs)
 	return runs["withdraw-batch/"+id]
 }
 
 func (f *twoDomains) started() int64 {
 	f.t.Helper()
 	var stats engine.Stats
-	f.read(f.backends["engine"]+"/admin/stats", &stats)
+	f.getJSON(f.backends["engine"]+"/admin/stats", &stats)
 	return stats.Started
 }
 
 // forwarder returns the instance of suva-a-1 that has a forwarded request in flight.
 func (f *twoDomains) forwarder() string {
 	f.t.Helper()
-	for _, id := range []string{near1, near2} {
+	for _, id := range []string{backendEntry1, backendEntry2} {
 		var dump struct {
 			Forwarded int `json:"forwarded"`
 		}
@@ -150,12 +150,12 @@
 			return id
 		}
 	}
-	f.t.Fatal("nobody forwards the stream")
+	f.t.Fatal("no instance forwards the stream")
 	return ""
 }
 
-// begin opens a stream and reads its first line.
-func (f *twoDomains) begin(m *member, tokens int) (*bufio.Reader, string) {
+// startStream opens a stream and reads its first line.
+func (f *twoDomains) startStream(m *member, tokens int) (*bufio.Reader, string) {
 	f.t.Helper()
 	resp := f.openStream(m, f.key, completion("dossier", tokens, true))
 	f.t.Cleanup(func() { _ = resp.Body.Close() })
@@ -167,7 +167,7 @@
 	return lines, first
 }
 
-func (f *twoDomains) checkWhole(lines *bufio.Reader, first string, tokens int) {
+func (f *twoDomains) checkComplete(lines *bufio.Reader, first string, tokens int) {
 	f.t.Helper()
 	rest, err := io.ReadAll(lines)
 	if err != nil {
@@ -186,7 +186,7 @@
 	}
 }
 
-func newKey(t *testing.T) string {
+func newIdempotencyKey(t *testing.T) string {
 	t.Helper()
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -195,34 +195,34 @@
 	return id.String()
 }
 
-// An entry instance is killed while it streams to its own caller and runs a
-// withdrawal order of another. The stream breaks without the mark of a whole
-// answer. The order, sent again under its key through another instance, is
-// refused with 409 and never as not run: the claim outlives its instance, and the
-// order ran once at most. The other instances serve on.
+// An entry instance is killed while it streams to one caller and runs a withdrawal
+// order of another. The stream has to end without its [DONE] event. A retry of the
+// order with its idempotency key through another instance has to be refused with
+// 409 and never as not run, since the claim outlives its instance; the order runs at
+// most once. The other instances keep serving.
 func TestKilledEntryLeavesItsClaim(t *testing.T) {
 	f := startTwoDomains(t)
-	lines, _ := f.begin(f.instances[near1], 3000)
-	f.fault(f.backends["ledger"], `{"delay":1000000000}`)
-	key := newKey(t)
+	lines, _ := f.startStream(f.instances[backendEntry1], 3000)
+	f.setFaults(f.backends["ledger"], `{"delay":1000000000}`)
+	key := newIdempotencyKey(t)
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		_, _ = f.order(f.instances[near1], key, "tins")
+		_, _ = f.order(f.instances[backendEntry1], key, "tins")
 	}()
 	f.await("the order at the server", func() bool {
 		var health struct{ Running int }
-		f.read(f.backends["ledger"]+"/v1/health", &health)
+		f.getJSON(f.backends["ledger"]+"/v1/health", &health)
 		return health.Running > 0
 	})
-	f.instances[near1].signal(t, syscall.SIGKILL)
+	f.instances[backendEntry1].signal(t, syscall.SIGKILL)
 	rest, err := io.ReadAll(lines)
 	if err == nil || strings.Contains(string(rest), "[DONE]") {
-		t.Errorf("the killed instance's stream ended with %v, %q", err, rest[max(0, len(rest)-100):])
+		t.Errorf("stream of the killed instance ended with error %v and %q, want an error and no [DONE]", err, rest[max(0, len(rest)-100):])
 	}
 	<-sent
-	f.fault(f.backends["ledger"], `{}`)
-	for _, id := range []string{near2, far} {
+	f.setFaults(f.backends["ledger"], `{}`)
+	for _, id := range []string{backendEntry2, remoteEntry} {
 		f.awaitServed(f.instances[id], f.key, "/v1/completions", completion("x", 1, false))
 		f.await("a refusal by "+id, func() bool {
 			status, answer := f.order(f.instances[id], key, "tins")
@@ -237,23 +237,23 @@
 	}
 }
 
-// The peer that forwards a stream is killed, or the link to it is cut. The
-// caller gets the whole answer: the rest comes from the same engine through the
-// other peer, and the engine ran one generation.
+// The peer that forwards a stream is killed, or the link to it is cut. The caller
+// still gets the complete response: the stream is resumed on the same engine through
+// the other peer, and the engine runs one generation only.
 func TestForwardedStreamSurvives(t *testing.T) {
 	const tokens = 3000
 	for _, fault := range []string{"kill", "cut"} {
 		t.Run(fault, func(t *testing.T) {
 			f := startTwoDomains(t)
 			before := f.started()
-			lines, first := f.begin(f.instances[far], tokens)
+			lines, first := f.startStream(f.instances[remoteEntry], tokens)
 			victim := f.forwarder()
 			if fault == "kill" {
 				f.instances[victim].signal(t, syscall.SIGKILL)
 			} else {
 				f.links[victim].cut()
 			}
-			f.checkWhole(lines, first, tokens)
+			f.checkComplete(lines, first, tokens)
 			if n := f.started() - before; n != 1 {
 				t.Errorf("%d generations", n)
 			}
@@ -261,17 +261,17 @@
 	}
 }
 
-// The peer that forwards a stream freezes. Its connection stays open, so only the
-// missing answer to a ping tells; then the rest comes through the other peer.
-// Woken up, the frozen peer does no harm and serves again.
+// The peer that forwards a stream is frozen (SIGSTOP). Its connection stays open, so
+// that only an unanswered ping reveals the fault; the stream is then resumed through
+// the other peer. After SIGCONT the frozen peer sends nothing stale and serves again.
 func TestFrozenPeerIsReplaced(t *testing.T) {
 	const tokens = 3000
 	f := startTwoDomains(t)
 	before := f.started()
-	lines, first := f.begin(f.instances[far], tokens)
+	lines, first := f.startStream(f.instances[remoteEntry], tokens)
 	victim := f.forwarder()
 	f.instances[victim].signal(t, syscall.SIGSTOP)
-	f.checkWhole(lines, first, tokens)
+	f.checkComplete(lines, first, tokens)
 	if n := f.started() - before; n != 1 {
 		t.Errorf("%d generations", n)
 	}
@@ -279,33 +279,33 @@
 	f.awaitServed(f.instances[victim], f.key, "/v1/completions", completion("x", 1, false))
 }
 
-// The link to the peer that forwards a withdrawal order is cut while the order
-// runs. The caller is told that the run state is unknown, and nothing sends the
-// order again. Sent again by the caller under its key, it is refused with 409 and
-// never as not run: the peer made the claim before it dispatched.
+// The link to the peer that forwards a withdrawal order is cut while the order runs.
+// The caller gets run state unknown, and no instance retries the order. A retry by
+// the caller with the same idempotency key is refused with 409 and never as not run,
+// because the peer made the claim before it dispatched the order.
 func TestCutLinkUnderAnOrder(t *testing.T) {
 	f := startTwoDomains(t)
-	f.fault(f.backends["ledger"], `{"delay":1000000000}`)
-	key := newKey(t)
+	f.setFaults(f.backends["ledger"], `{"delay":1000000000}`)
+	key := newIdempotencyKey(t)
 	type result struct {
 		status int
 		answer string
 	}
 	sent := make(chan result)
 	go func() {
-		status, answer := f.order(f.instances[far], key, "tins")
+		status, answer := f.order(f.instances[remoteEntry], key, "tins")
 		sent <- result{status, answer}
 	}()
 	f.await("the order at the server", func() bool {
 		var health struct{ Running int }
-		f.read(f.backends["ledger"]+"/v1/health", &health)
+		f.getJSON(f.backends["ledger"]+"/v1/health", &health)
 		return health.Running > 0
 	})
 	f.links[f.forwarder()].cut()
 	if got := <-sent; got.status == http.StatusOK || !strings.Contains(got.answer, `"run":"unknown"`) {
-		t.Errorf("the cut order: %d %s", got.status, got.answer)
+		t.Errorf("order over the cut link: %d %s", got.status, got.answer)
 	}
-	for _, id := range []string{far, near1, near2} {
+	for _, id := range []string{remoteEntry, backendEntry1, backendEntry2} {
 		status, answer := f.order(f.instances[id], key, "tins")
 		if status != http.StatusConflict || strings.Contains(answer, `"run":"not_run"`) {
 			t.Errorf("%s: %d %s", id, status, answer)
@@ -316,19 +316,19 @@
 	}
 }
 
-// An instance is cut from the platform, and then the store is down for all.
-// Streams go on whole, and so do new model requests and orders without a key. An order that needs a claim is
-// refused as not run, with a time to come back, and reaches no server; when the
-// fault is over the same key runs, once.
+// One instance is cut off from the platform, then the store is down for all. Open
+// streams complete, and new model requests and orders without an idempotency key are
+// served. An order that needs a claim is refused as not run, with a Retry-After, and
+// reaches no backend server; after the fault an order with the same key runs once.
 func TestServesWithoutThePlatform(t *testing.T) {
 	const tokens = 1500
 	f := startTwoDomains(t)
-	lines, first := f.begin(f.instances[far], tokens)
+	lines, first := f.startStream(f.instances[remoteEntry], tokens)
 	f.platform.cut()
-	f.awaitServed(f.instances[far], f.key, "/v1/completions", completion("x", 4, false))
-	f.awaitServed(f.instances[far], f.key, orderPath, `{"id":"no-key"}`)
-	f.fault(f.fleet.platform, `{"outage":true}`)
-	key := newKey(t)
+	f.awaitServed(f.instances[remoteEntry], f.key, "/v1/completions", completion("x", 4, false))
+	f.awaitServed(f.instances[remoteEntry], f.key, orderPath, `{"id":"no-key"}`)
+	f.setFaults(f.fleet.platform, `{"outage":true}`)
+	key := newIdempotencyKey(t)
 	for id, m := range f.instances {
 		f.awaitServed(m, f.key, "/v1/completions", completion("x", 4, false))
 		status, answer := f.order(m, key, "flour")
@@ -340,10 +340,13 @@
 	if n := f.runs("flour"); n != 0 {
 		t.Errorf("%d runs of a refused order", n)
 	}
-	f.checkWhole(lines, first, tokens)
-	f.fault(f.fleet.platform, `{}`)
+	f.checkComplete(lines, first, tokens)
+	f.setFaults(f.fleet.platform, `{}`)
 	f.platform.heal()
-	f.await("the order", func() bool { status, _ := f.order(f.instances[far], key, "flour"); return status == http.StatusOK })
+	f.await("the order", func() bool {
+		status, _ := f.order(f.instances[remoteEntry], key, "flour")
+		return status == http.StatusOK
+	})
 	if n := f.runs("flour"); n != 1 {
 		t.Errorf("%d runs", n)
 	}
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	startTimeout  = 60 * time.Second // generous: CI machines are busy
-	pollPause     = 20 * time.Millisecond
+	startTimeout  = 60 * time.Second // long enough for a loaded CI machine
+	pollInterval  = 20 * time.Millisecond
 	callersPort   = 18080
 	peersPort     = 18081
 	operatorPort  = 18082
@@ -57,7 +57,7 @@
 	id      string
 	command *exec.Cmd
 	log     *bytes.Buffer
-	ended   chan error
+	exited  chan error
 }
 
 func (p *process) signal(t *testing.T, s syscall.Signal) {
@@ -67,26 +67,26 @@
 	}
 }
 
-// fleet is a deployment of real processes. Each has a loopback address of its
-// own, so that fixed ports cannot clash.
+// fleet is a deployment of separate processes. Each process has its own loopback
+// address, so that the fixed ports cannot collide.
 type fleet struct {
-	t         *testing.T
-	dir       string
-	net       string // first three bytes of the fleet's addresses
-	nextHost  int
-	listed    strings.Builder
-	platform  string // URL
-	instances map[string]*member
-	backends  map[string]string // id to URL
-	processes map[string]*process
+	t             *testing.T
+	dir           string
+	addressPrefix string // first three bytes of the fleet's addresses
+	nextHost      int
+	listed        strings.Builder
+	platform      string // URL
+	instances     map[string]*member
+	backends      map[string]string // id to URL
+	processes     map[string]*process
 }
 
 // member is an entry instance.
 type member struct {
 	*process
 	host, region, domain string
-	advertise            string // address given to peers, when it is a relay's
-	platform             string // URL of the platform, when it is a relay's
+	advertise            string // address advertised to peers if it is that of a relay
+	platform             string // URL of the platform if it is that of a relay
 }
 
 func (m *member) callers() string  { return fmt.Sprintf("http://%s:%d", m.host, callersPort) }
@@ -95,27 +95,27 @@
 func newFleet(t *testing.T) *fleet {
 	pid := os.Getpid()
 	f := &fleet{
-		t: t, dir: t.TempDir(), net: fmt.Sprintf("127.%d.%d", 64+pid/200%64, 1+pid%200), nextHost: 10,
+		t: t, dir: t.TempDir(), addressPrefix: fmt.Sprintf("127.%d.%d", 64+pid/200%64, 1+pid%200), nextHost: 10,
 		instances: make(map[string]*member), backends: make(map[string]string), processes: make(map[string]*process),
 	}
 	t.Cleanup(f.stop)
 	return f
 }
 
-func (f *fleet) host() string {
+func (f *fleet) nextAddress() string {
 	f.nextHost++
-	return fmt.Sprintf("%s.%d", f.net, f.nextHost)
+	return fmt.Sprintf("%s.%d", f.addressPrefix, f.nextHost)
 }
 
 func (f *fleet) run(id, binary string, args ...string) *process {
 	f.t.Helper()
-	p := &process{id: id, command: exec.Command(filepath.Join(binaries, binary), args...), log: &bytes.Buffer{}, ended: make(chan error, 1)}
+	p := &process{id: id, command: exec.Command(filepath.Join(binaries, binary), args...), log: &bytes.Buffer{}, exited: make(chan error, 1)}
 	p.command.Stderr = p.log
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.command.Start(); err != nil {
 		f.t.Fatalf("%s: %v", id, err)
 	}
-	go func() { p.ended <- p.command.Wait() }()
+	go func() { p.exited <- p.command.Wait() }()
 	f.processes[id] = p
 	return p
 }
@@ -123,8 +123,8 @@
 func (f *fleet) stop() {
 	for id, p := range f.processes {
 		_ = p.command.Process.Kill()
-		err := <-p.ended
-		p.ended <- err
+		err := <-p.exited
+		p.exited <- err
 		if f.t.Failed() {
 			f.t.Logf("log of %s:\n%s", id, p.log)
 		}
@@ -133,16 +133,16 @@
 
 // addBackend starts a stand-in of a backend server.
 func (f *fleet) addBackend(kind, id, service, region, domain string) {
-	address := fmt.Sprintf("%s:%d", f.host(), backendPort)
+	address := fmt.Sprintf("%s:%d", f.nextAddress(), backendPort)
 	f.run(id, "basilroute", "standin", kind, "--listen", address)
 	f.backends[id] = "http://" + address
 	fmt.Fprintf(&f.listed, "  - {id: %s, role: backend, region: %s, domain: %s, address: 'http://%s', service: %s, version: v1}\n",
 		id, region, domain, address, service)
 }
 
-// addInstance plans an entry instance; startInstances starts all of them.
+// addInstance adds an entry instance to the list; startInstances starts all of them.
 func (f *fleet) addInstance(id, region, domain string) {
-	m := &member{host: f.host(), region: region, domain: domain}
+	m := &member{host: f.nextAddress(), region: region, domain: domain}
 	f.instances[id] = m
 	f.listInstance(id, m, fmt.Sprintf("%s:%d", m.host, peersPort))
 }
@@ -161,7 +161,7 @@
 }
 
 func (f *fleet) startPlatform() {
-	address := fmt.Sprintf("%s:%d", f.host(), backendPort)
+	address := fmt.Sprintf("%s:%d", f.nextAddress(), backendPort)
 	f.platform = "http://" + address
 	config := f.write("platform.yaml", "instances:\n"+f.listed.String())
 	f.run("platform", "basilroute", "standin", "platform", "--listen", address, "--config", config)
@@ -199,15 +199,15 @@
 	return f.run(id, "basilrouted", "--config", f.write(id+".yaml", settings))
 }
 
-// await polls a condition; it fails the test only after a long time.
+// await polls a condition and fails the test after startTimeout.
 func (f *fleet) await(what string, ok func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollPause) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if ok() {
 			return
 		}
 	}
-	f.t.Fatalf("waited %s for %s", startTimeout, what)
+	f.t.Fatalf("timed out after %s waiting for %s", startTimeout, what)
 }
 
 // cli runs the operators' command and returns what it printed.
@@ -233,7 +233,7 @@
 	return operatorapi.Token{Token: string(b)}, nil
 }
 
-// status asks an instance; nil when it does not answer.
+// status returns the status of an instance, nil if it does not respond.
 func (f *fleet) status(m *member) *operatorapi.Status {
 	client, err := operatorapi.NewClient(m.operator(), bearer(operatorToken))
 	if err != nil {
@@ -257,8 +257,8 @@
 	return http.DefaultClient.Do(req)
 }
 
-// ask sends a request and returns the status and the whole answer.
-func (f *fleet) ask(m *member, key, path, body string) (int, string) {
+// post sends a request and returns the status and the whole answer.
+func (f *fleet) post(m *member, key, path, body string) (int, string) {
 	resp, err := call(f.t.Context(), m.callers(), key, path, body)
 	if err != nil {
 		return 0, err.Error()
--- a/e2e/inprocess/fleet_test.go
+++ b/e2e/inprocess/fleet_test.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	modelService = "basil-lm"
-	plainService = "guild-desk"
-	awaitLimit   = time.Minute
-	awaitPause   = 10 * time.Millisecond
+	modelService  = "basil-lm"
+	plainService  = "guild-desk"
+	awaitLimit    = time.Minute
+	awaitInterval = 10 * time.Millisecond
 )
 
-// testFleet is a fleet in this process: fraser-a-1 has two instances and no
-// backend server, fraser-a-2 has two instances, an engine and a plain service.
+// testFleet is a fleet that runs in this process: fraser-a-1 has two instances and no
+// backend server; fraser-a-2 has two instances, an engine and a plain service.
 type testFleet struct {
 	*localfleet.Fleet
 	t   *testing.T
@@ -81,11 +81,11 @@
 	return "http://" + callers
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
-	status int
-	body   string
-	closes bool // the server asks to leave the connection
+	status          int
+	body            string
+	connectionClose bool // the response has "Connection: close"
 
 	Code         string `json:"code"`
 	Run          string `json:"run"`
@@ -118,7 +118,7 @@
 	if err != nil {
 		f.t.Errorf("%s: %v", id, err)
 	}
-	out := reply{status: resp.StatusCode, body: string(data), closes: resp.Close}
+	out := reply{status: resp.StatusCode, body: string(data), connectionClose: resp.Close}
 	if resp.StatusCode != http.StatusOK {
 		_ = json.Unmarshal(data, &out)
 	}
@@ -136,9 +136,9 @@
 
 func (f *testFleet) await(what string, ok func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(awaitLimit); !ok(); time.Sleep(awaitPause) {
+	for end := time.Now().Add(awaitLimit); !ok(); time.Sleep(awaitInterval) {
 		if time.Now().After(end) {
-			f.t.Fatalf("waited %s for %s", awaitLimit, what)
+			f.t.Fatalf("timed out after %s waiting for %s", awaitLimit, what)
 		}
 	}
 }
@@ -160,9 +160,9 @@
 	return fmt.Sprintf(`{"model":"basil-lm","prompt":%q,"max_tokens":%d,"stream":%t}`, text, tokens, stream)
 }
 
-func wholeText(tokens int) string { return wholeTextOf(defaultPrompt, tokens) }
+func completeText(tokens int) string { return completeTextOf(defaultPrompt, tokens) }
 
-func wholeTextOf(text string, tokens int) string {
+func completeTextOf(text string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
 		b.WriteString(engine.Token(text, i))
--- a/e2e/inprocess/once_test.go
+++ b/e2e/inprocess/idempotency_test.go
@@ -12,9 +12,10 @@
 
 const idempotency = "Idempotency-Key"
 
-// A caller sends the same purchase order through all four instances at once. One
-// of them runs it; the others find its claim and answer 409, and never "not run"
-// while it may have run. Sent again later, it is still refused.
+// A caller sends the same purchase order through all four instances concurrently. One
+// of them runs it; the others find its claim and respond with 409, and never with
+// run state not_run while it may have run. A different order with the same key is
+// refused.
 func TestOrderSentThroughAllInstancesRunsOnce(t *testing.T) {
 	f := startFleet(t)
 	key := idempotencyKey(t)
@@ -43,9 +44,9 @@
 	}
 }
 
-// The server runs the order and its answer is lost. The caller is told that the
-// run state is unknown, sends it again through another instance, and is told so
-// again: the claim stands, and the order ran once.
+// The server runs the order and its response is lost. The caller gets run state
+// unknown, and again on a retry through every other instance: the claim still exists,
+// and the order ran once.
 func TestLostAnswerIsNotRunAgain(t *testing.T) {
 	f := startFleet(t)
 	f.plain().SetFaults(plain.Faults{LoseResponses: 1})
@@ -63,9 +64,9 @@
 	}
 }
 
-// The store is out of reach. An order that needs a claim is refused as not run,
-// with a time to come back, and no backend server sees it; one without a key and
-// one that may be repeated go on. With the store back the same key runs.
+// The store is unreachable. An order that needs a claim is refused as not run, with a
+// Retry-After, and no backend server gets it; an order without an idempotency key is
+// served. Once the store is back, an order with the same key runs.
 func TestStoreOutageRefusesClaims(t *testing.T) {
 	f := startFleet(t)
 	f.Platform.SetFaults(platform.Faults{Outage: true})
@@ -88,8 +89,8 @@
 	}
 }
 
-// The store takes a claim and loses the answer: the write is settled by its
-// nonce, and the order runs, once.
+// The store applies a claim and its response is lost: the outcome of the write is
+// determined by its nonce, and the order runs once.
 func TestClaimWithLostAnswerIsSettled(t *testing.T) {
 	f := startFleet(t)
 	f.Platform.SetFaults(platform.Faults{LoseResponses: 2}) // the lease and the claim
@@ -106,9 +107,9 @@
 	}
 }
 
-// The server says that it did not begin. The claim is retracted before the
-// caller hears of it, so the same key runs as soon as the server is back.
-func TestOrderThatDidNotRunMayBeSentAgain(t *testing.T) {
+// The server reports that it did not start the order. The claim is retracted before
+// the caller gets the refusal, so that the same key runs as soon as the server is back.
+func TestOrderThatDidNotRunCanBeRetried(t *testing.T) {
 	f := startFleet(t)
 	f.plain().SetFaults(plain.Faults{Leaving: true})
 	key := idempotencyKey(t)
@@ -119,14 +120,14 @@
 	f.await("the order", func() bool {
 		got := f.buy("fraser-a-1-entry-2", "resin", idempotency, key)
 		if got.status == http.StatusConflict {
-			t.Fatalf("the claim stands: %s", got.body)
+			t.Fatalf("the claim was not retracted: %s", got.body)
 		}
 		return got.status == http.StatusOK
 	})
 }
 
-// Callers' keys travel in the Authorization header of every request; no backend
-// server ever gets one, directly or through a peer.
+// Callers send their keys in the Authorization header; no backend server may ever get
+// one, neither directly nor through a peer.
 func TestKeysNeverReachBackendServers(t *testing.T) {
 	f := startFleet(t)
 	for id := range f.Instances {
@@ -142,9 +143,9 @@
 	}
 }
 
-// A plain service calls back into the gateway with the token it was given. A
-// call of its own service is a loop and refused as such, through any instance; a
-// call of another service runs. A made-up token is refused.
+// A plain service calls the gateway with the via token that it received. A call of
+// its own service is refused as a loop by every instance, a call of another service
+// runs, and a forged token is refused.
 func TestLoopBetweenServicesIsRefused(t *testing.T) {
 	f := startFleet(t)
 	first := f.buy("fraser-a-1-entry-1", "resin")
@@ -168,11 +169,11 @@
 	}
 }
 
-// A server reads an operation and resets the connection. One that may be repeated
-// is sent again and its caller sees nothing of it. One that may not is dispatched
-// once, also without a key, and its caller is told that the run state is unknown:
-// no instance on the way sends it again, forwarded or not.
-func TestOnlyRepeatableOperationsAreSentAgain(t *testing.T) {
+// A server reads an operation and resets the connection. A repeatable operation is
+// retried, and its caller gets a success. One that is not repeatable is dispatched
+// once, also without an idempotency key, and its caller gets run state unknown: no
+// instance on the path retries it, whether it is forwarded or not.
+func TestOnlyRepeatableOperationsAreRetried(t *testing.T) {
 	f := startFleet(t)
 	for _, id := range []string{"fraser-a-1-entry-1", "fraser-a-2-entry-1"} {
 		for _, c := range []struct {
--- a/e2e/inprocess/orders_test.go
+++ b/e2e/inprocess/orders_test.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// A team edits its document, and an engine loads the version that it names. An
-// order of a former holder arrives late. An engine that checks the fencing number
-// refuses it; one that ignores the number obeys, and is set right again, since
-// the holder compares what the engine says with the document over and over.
+// A service document names a version, and the engine loads it. Then an order of an
+// earlier lease holder arrives late. An engine that checks the fencing number refuses
+// it. An engine that ignores the number executes it and is corrected afterwards, since
+// the lease holder periodically compares the engine's state with the document.
 func TestOrdersEndUpRight(t *testing.T) {
 	f := startFleet(t)
 	f.applyModel("orders: {version: v2}\n")
@@ -45,8 +45,9 @@
 	f.await("the version again", func() bool { return f.engineState().Version == "v2" })
 }
 
-// A team drains an engine, and takes it back. While it drains it gets no new
-// work and its callers are told "not run"; afterwards it serves again.
+// A service document drains an engine and later ends the drain. While it drains, the
+// engine gets no new work and requests are refused as not run; afterwards it serves
+// again.
 func TestDrainedEngineGetsNoWork(t *testing.T) {
 	f := startFleet(t)
 	f.applyModel("orders: {draining: [fraser-a-2-engine-1]}\n")
--- a/e2e/inprocess/stop_test.go
+++ b/e2e/inprocess/stop_test.go
@@ -14,8 +14,8 @@
 	"github.com/basilroute/basilroute/standin/platform"
 )
 
-// openForwarded opens streams on an instance without backend servers and returns
-// them with the peer that forwards them.
+// openForwarded opens a stream on an instance whose domain has no backend servers. It
+// returns the stream, its first event and the id of the peer that forwards it.
 func (f *testFleet) openForwarded(tokens int) (*bufio.Reader, string, string) {
 	f.t.Helper()
 	_, lines, first := f.openStream("fraser-a-1-entry-1", defaultPrompt, tokens)
@@ -28,22 +28,23 @@
 	return nil, "", ""
 }
 
-func (f *testFleet) checkWhole(what, events string, tokens int) {
+func (f *testFleet) checkComplete(what, events string, tokens int) {
 	f.t.Helper()
-	if got := text(events); got != wholeText(tokens) || !strings.HasSuffix(events, "data: [DONE]\n\n") {
-		f.t.Errorf("%s: not whole: %d bytes of %d, ends with %q", what, len(got), len(wholeText(tokens)), events[max(0, len(events)-100):])
+	if got := tokenText(events); got != completeText(tokens) || !strings.HasSuffix(events, "data: [DONE]\n\n") {
+		f.t.Errorf("%s: incomplete: %d bytes of %d, ends with %q", what, len(got), len(completeText(tokens)), events[max(0, len(events)-100):])
 	}
 }
 
-// An instance is stopped while it serves a stream of its own, one that a peer
-// forwards through it, and a purchase order. All of them end whole. New callers
-// are told "not run" and where else to go, on a connection that says it closes;
-// the peers serve on without it, and Stop reports no cut.
+// An instance shuts down gracefully while it serves a stream of its own caller, a
+// stream that a peer sent to it, and a purchase order. All of them complete. New
+// requests are refused as not run with the addresses of other entries and
+// "Connection: close"; the peers keep serving, and Stop returns no error.
 func TestPlannedStopCutsNothingInFlight(t *testing.T) {
 	checkPlannedStop(t, startFleet(t))
 }
 
-// The same holds while the store is down: the stop waits for no call of it.
+// The same holds while the store is unreachable: a graceful shutdown waits for no
+// store call.
 func TestPlannedStopWithoutTheStore(t *testing.T) {
 	f := startFleet(t)
 	f.Platform.SetFaults(platform.Faults{Outage: true})
@@ -66,8 +67,8 @@
 		refused = f.send(id, "/v1/completions", prompt(1, false))
 		return refused.status != http.StatusOK
 	})
-	if refused.Code != "leaving" || refused.Run != "not_run" || len(refused.Entries) != 3 || !refused.closes {
-		t.Errorf("refused, closes %t: %s", refused.closes, refused.body)
+	if refused.Code != "leaving" || refused.Run != "not_run" || len(refused.Entries) != 3 || !refused.connectionClose {
+		t.Errorf("refused, closes %t: %s", refused.connectionClose, refused.body)
 	}
 	f.plain().SetFaults(plain.Faults{})
 	for n := range 10 {
@@ -83,7 +84,7 @@
 		if err != nil {
 			t.Errorf("%s: %v", stream.what, err)
 		}
-		f.checkWhole(stream.what, stream.first+string(rest), tokens)
+		f.checkComplete(stream.what, stream.first+string(rest), tokens)
 	}
 	if got := <-order; got.status != http.StatusOK || f.runs("resin") != 1 {
 		t.Errorf("the order: %d %s, %d runs", got.status, got.body, f.runs("resin"))
@@ -94,9 +95,9 @@
 	delete(f.Instances, id)
 }
 
-// The operator's patience ends: a second signal, or stop.limit, cuts what is
-// still in flight. The callers are told by an explicit event that the answer is
-// incomplete and why, not by a broken connection, and Stop reports it.
+// A second signal, or stop.limit, aborts the requests that are still in flight. Their
+// callers get an explicit event that the response is incomplete and why, not a closed
+// connection, and Stop returns an error.
 func TestCutStopTellsCallers(t *testing.T) {
 	f := startFleet(t)
 	const id = "fraser-a-2-entry-1"
@@ -119,9 +120,9 @@
 	delete(f.Instances, id)
 }
 
-// A peer that forwards a stream is made to stop without waiting. The caller, on
-// another instance, notices nothing: the generation goes on, and the rest comes
-// through the other peer.
+// A peer that forwards a stream shuts down without waiting. The caller, on another
+// instance, still gets the complete response: the generation continues, and the stream
+// is resumed through the other peer.
 func TestCutPeerHandsItsStreamsOn(t *testing.T) {
 	f := startFleet(t)
 	const tokens = 1200
@@ -136,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.checkWhole("forwarded", first+string(rest), tokens)
+	f.checkComplete("forwarded", first+string(rest), tokens)
 	if started := f.engine().Stats().Started; started != 1 {
 		t.Errorf("%d generations", started)
 	}
--- a/e2e/inprocess/whole_test.go
+++ b/e2e/inprocess/stream_test.go
@@ -12,7 +12,8 @@
 	"github.com/basilroute/basilroute/standin/engine"
 )
 
-// openStream opens a stream and reads its first event, so that it runs.
+// openStream opens a stream and reads its first event, so that the generation has
+// started.
 func (f *testFleet) openStream(id, text string, tokens int) (*http.Response, *bufio.Reader, string) {
 	f.t.Helper()
 	resp, err := f.open(id, "/v1/completions", promptOf(text, tokens, true))
@@ -28,8 +29,8 @@
 	return resp, lines, first
 }
 
-// text joins the tokens of a stream's events.
-func text(events string) string {
+// tokenText joins the tokens of a stream's events.
+func tokenText(events string) string {
 	var b strings.Builder
 	for _, line := range strings.Split(events, "\n") {
 		_, rest, ok := strings.Cut(line, `"text":"`)
@@ -41,10 +42,10 @@
 	return b.String()
 }
 
-// The peer that forwards a stream dies in the middle of it. The caller, on an
-// instance of another failure domain, gets the whole answer: the rest comes from
-// the same engine through the other peer. The generation ran once, and the account
-// is charged for exactly the answer's tokens.
+// The peer that forwards a stream is killed in the middle of it. The caller, on an
+// instance of another failure domain, gets the complete response: the stream is
+// resumed on the same engine through the other peer. The generation runs once, and the
+// account is charged for exactly the tokens of the prompt and the response.
 func TestStreamOutlivesTheForwardingPeer(t *testing.T) {
 	f := startFleet(t)
 	const tokens = 600
@@ -63,8 +64,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := text(first + string(rest)); got != wholeText(tokens) {
-		t.Errorf("not the whole answer: %d bytes of %d", len(got), len(wholeText(tokens)))
+	if got := tokenText(first + string(rest)); got != completeText(tokens) {
+		t.Errorf("incomplete response: %d bytes of %d", len(got), len(completeText(tokens)))
 	}
 	if !strings.HasSuffix(string(rest), "data: [DONE]\n\n") {
 		t.Errorf("ends with %q", rest[max(0, len(rest)-200):])
@@ -73,13 +74,13 @@
 		t.Errorf("%d generations", started)
 	}
 	delete(f.Instances, victim)
-	if used, want := f.used(), float64(estimate.Estimate(defaultPrompt)+tokens); used != want {
-		t.Errorf("the account was charged %g tokens, the answer has %g", used, want)
+	if used, want := f.chargedTokens(), float64(estimate.Estimate(defaultPrompt)+tokens); used != want {
+		t.Errorf("the account was charged %g tokens, prompt and response have %g", used, want)
 	}
 }
 
-// used returns how many tokens all instances have charged and not given back.
-func (f *testFleet) used() float64 {
+// chargedTokens returns how many tokens all instances have charged and not refunded.
+func (f *testFleet) chargedTokens() float64 {
 	f.t.Helper()
 	total := 0.0
 	for id, i := range f.Instances {
@@ -99,7 +100,7 @@
 	return total
 }
 
-// metric returns a series' value, 0 when it is not there.
+// metric returns the value of a series, 0 if the series does not exist.
 func metric(page, series string) float64 {
 	_, rest, _ := strings.Cut(page, series+" ")
 	text, _, _ := strings.Cut(rest, "\n")
@@ -107,9 +108,9 @@
 	return value
 }
 
-// The engine crashes in the middle of an answer. A caller that reads a stream
-// gets an explicit event that the answer is incomplete and no mark of its end; one
-// that waits for the whole answer gets an error, never the part that was there.
+// The engine crashes in the middle of a response. A caller of a stream gets an
+// explicit event that the response is incomplete and no [DONE] event; a caller that
+// does not stream gets an error, never a partial response.
 func TestCrashedEngineNeverLooksWhole(t *testing.T) {
 	f := startFleet(t)
 	for _, id := range []string{"fraser-a-1-entry-1", "fraser-a-2-entry-1"} {
@@ -126,18 +127,19 @@
 		if events := string(rest); !strings.Contains(events, "event: incomplete") || strings.Contains(events, "[DONE]") {
 			t.Errorf("%s: ends with %q", id, events[max(0, len(events)-300):])
 		}
-		if got := <-whole; got.status == http.StatusOK && !strings.Contains(got.body, wholeTextOf("whole through "+id, 4000)) {
-			t.Errorf("%s: a part looks whole: %d %.200s", id, got.status, got.body)
+		if got := <-whole; got.status == http.StatusOK && !strings.Contains(got.body, completeTextOf("whole through "+id, 4000)) {
+			t.Errorf("%s: a partial response has status %d: %.200s", id, got.status, got.body)
 		}
-		f.await("the engine", func() bool { // a new prompt each time, since one that fails repeatedly is quarantined
+		f.await("the engine", func() bool { // with a new prompt each time, since a prompt that fails repeatedly is quarantined
 			return f.send(id, "/v1/completions", promptOf(idempotencyKey(t), 1, false)).status == http.StatusOK
 		})
 	}
 }
 
-// A caller goes away in the middle of a stream, on an instance that forwards it.
-// The engine is told, so that it does not compute for nobody.
-func TestGoneCallerReachesTheEngine(t *testing.T) {
+// A caller disconnects in the middle of a stream, on an instance that forwards it or
+// dispatches it. The generation is cancelled on the engine, so that it does not compute
+// tokens that nobody reads.
+func TestCallerDisconnectCancelsGeneration(t *testing.T) {
 	f := startFleet(t)
 	for n, id := range []string{"fraser-a-1-entry-1", "fraser-a-2-entry-1"} {
 		resp, _, _ := f.openStream(id, defaultPrompt, 4000)
@@ -146,15 +148,15 @@
 	}
 }
 
-// Frames come twice and crossed with another request's, and the connection to
-// the engine is cut: every caller still gets exactly its own text, on both sides
-// of a forward.
+// The engine repeats frames, mixes in frames of another request and cuts the
+// connection: every caller still gets exactly its own text, with and without
+// forwarding.
 func TestCrossedFramesThroughInstances(t *testing.T) {
 	f := startFleet(t)
 	f.engine().SetFaults(engine.Faults{ForeignFrames: true, RepeatFrames: true, CutAfter: 30, MaxCuts: 2})
 	for id := range f.Instances {
 		got := f.send(id, "/v1/completions", prompt(50, false))
-		if got.status != http.StatusOK || !strings.Contains(got.body, wholeText(50)) || strings.Contains(got.body, "not yours") {
+		if got.status != http.StatusOK || !strings.Contains(got.body, completeText(50)) || strings.Contains(got.body, "not yours") {
 			t.Errorf("%s: %d %s", id, got.status, got.body)
 		}
 	}
--- a/e2e/order_test.go
+++ b/e2e/order_test.go
@@ -17,16 +17,15 @@
   withdraw-batch: {repeatable: false, cost: 10}
 `
 
-// A plain service freezes with a withdrawal order on its way to it. The caller is
-// told at the deadline that the run state is unknown. The service wakes up and may
-// still run what it was sent; the order, sent again under its key, is never run
-// a second time.
+// A plain service is frozen when a withdrawal order is sent to it. At the deadline the
+// caller gets run state unknown. After SIGCONT the service may still run the order
+// that it received; a retry with the same idempotency key never runs it a second time.
 func TestFrozenServiceRunsAnOrderOnce(t *testing.T) {
 	f := startTwoDomains(t)
-	f.mustCLI("apply", "--wait", "--instance", f.instances[near1].operator(), f.write("hurried", hurriedLedger))
-	key := newKey(t)
+	f.mustCLI("apply", "--wait", "--instance", f.instances[backendEntry1].operator(), f.write("hurried", hurriedLedger))
+	key := newIdempotencyKey(t)
 	f.processes["ledger"].signal(t, syscall.SIGSTOP)
-	status, answer := f.order(f.instances[far], key, "tins")
+	status, answer := f.order(f.instances[remoteEntry], key, "tins")
 	if status == http.StatusOK || !strings.Contains(answer, `"run":"unknown"`) {
 		t.Errorf("at the frozen service: %d %s", status, answer)
 	}
@@ -45,16 +44,16 @@
 	}
 }
 
-// An operator does not want to wait for a long stream and sends SIGTERM twice.
-// The caller is told by an explicit event that its answer is incomplete, and the
-// process says by its exit code that it cut something.
+// A second SIGTERM aborts the graceful shutdown while a long stream is open. The
+// caller gets an explicit event that the response is incomplete, and the exit code of
+// the process is not 0.
 func TestSecondSignalCuts(t *testing.T) {
 	f := startTwoDomains(t)
-	m := f.instances[near1]
-	lines, _ := f.begin(m, 4000)
+	m := f.instances[backendEntry1]
+	lines, _ := f.startStream(m, 4000)
 	m.signal(t, syscall.SIGTERM)
 	f.await("the stop", func() bool {
-		status, answer := f.ask(m, f.key, "/v1/completions", completion("x", 1, false))
+		status, answer := f.post(m, f.key, "/v1/completions", completion("x", 1, false))
 		return status == http.StatusServiceUnavailable && strings.Contains(answer, `"code":"leaving"`)
 	})
 	m.signal(t, syscall.SIGTERM)
@@ -65,8 +64,8 @@
 	if events := string(rest); !strings.Contains(events, "event: incomplete") || strings.Contains(events, "[DONE]") {
 		t.Errorf("ends with %q", events[max(0, len(events)-200):])
 	}
-	err = <-m.ended
-	m.ended <- err
+	err = <-m.exited
+	m.exited <- err
 	if err == nil {
 		t.Error("the process ended with code 0 although it cut a request")
 	}
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -66,21 +66,21 @@
 	return fmt.Sprintf(`{"model":"notice-writer","prompt":%q,"max_tokens":%d,"stream":%t}`, prompt, tokens, stream)
 }
 
-// awaitServed waits until an instance answers, since backend servers and quota
-// take a moment to be known everywhere.
+// awaitServed sends a request until an instance serves it: backend servers and quota
+// take some time to reach every instance.
 func (f *fleet) awaitServed(m *member, key, path, body string) string {
 	f.t.Helper()
 	answer := ""
 	f.await("an answer of "+m.id, func() bool {
 		var status int
-		status, answer = f.ask(m, key, path, body)
+		status, answer = f.post(m, key, path, body)
 		return status == http.StatusOK
 	})
 	return answer
 }
 
-// openStream sends a request until it is not refused; quota takes a moment to be
-// minted.
+// openStream sends a request until it is not refused, since the first quota tokens
+// have to be minted.
 func (f *fleet) openStream(m *member, key, body string) *http.Response {
 	f.t.Helper()
 	var resp *http.Response
@@ -95,7 +95,7 @@
 	return resp
 }
 
-func wholeText(prompt string, tokens int) string {
+func completeText(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
 		b.WriteString(engine.Token(prompt, i))
@@ -103,15 +103,15 @@
 	return b.String()
 }
 
-// A caller gets the whole answer to its own prompt through every instance, also
-// where the backend server is in another region: the plain service stands in one
-// region only, so five of the six instances have to forward to a peer.
+// A caller gets the complete response to its own prompt through every instance, also
+// when the backend server is in another region: the plain service runs in one region
+// only, so that five of the six instances have to forward to a peer.
 func TestEveryInstanceServesEveryService(t *testing.T) {
 	f, key := threeRegions(t)
 	for id, m := range f.instances {
 		answer := f.awaitServed(m, key, "/v1/completions", completion("hello "+id, 8, false))
-		if !strings.Contains(answer, wholeText("hello "+id, 8)) {
-			t.Errorf("%s: not the whole answer: %s", id, answer)
+		if !strings.Contains(answer, completeText("hello "+id, 8)) {
+			t.Errorf("%s: incomplete response: %s", id, answer)
 		}
 		answer = f.awaitServed(m, key, "/v1/services/recall-ledger/operations/withdraw-batch", `{"id":"`+id+`"}`)
 		if !strings.Contains(answer, `"runs":1`) {
@@ -120,10 +120,10 @@
 	}
 }
 
-// An operator withdraws a key while its caller reads a long stream. The caller
-// sees the stream end with an explicit event that names the reason, and its next
-// request on any instance is refused with 401: the withdrawal is pushed to every
-// peer before the command returns.
+// An operator withdraws a key while its caller reads a long stream. The stream ends
+// with an explicit event that names the reason, and the caller's next request on any
+// instance is refused with 401: the withdrawal is pushed to every peer before the
+// command returns.
 func TestWithdrawnKeyCutsOpenStream(t *testing.T) {
 	f, key := threeRegions(t)
 	m := f.instances["suva-a-1-entry-1"]
@@ -143,15 +143,14 @@
 		t.Errorf("the stream did not end with the reason: %s", rest[max(0, len(rest)-300):])
 	}
 	for id, m := range f.instances {
-		if status, answer := f.ask(m, key, "/v1/completions", completion("x", 1, false)); status != http.StatusUnauthorized {
+		if status, answer := f.post(m, key, "/v1/completions", completion("x", 1, false)); status != http.StatusUnauthorized {
 			t.Errorf("%s: status %d after the withdrawal: %s", id, status, answer)
 		}
 	}
 }
 
-// An instance is stopped by SIGTERM while it streams an answer. The caller gets
-// the rest of it, new callers are told to go elsewhere, and the process ends
-// with code 0 only after the last frame.
+// An instance gets SIGTERM while it streams a response. The caller still gets the
+// complete stream, and the process exits with code 0 only after the last frame.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	f, key := threeRegions(t)
 	m := f.instances["suva-a-2-entry-1"]
@@ -173,18 +172,18 @@
 		t.Errorf("%d of %d tokens", got, tokens)
 	}
 	if !strings.HasSuffix(string(rest), "data: [DONE]\n\n") {
-		t.Error("the answer does not end as a whole one")
+		t.Error("the stream does not end with [DONE]")
 	}
-	err = <-m.ended
-	m.ended <- err
+	err = <-m.exited
+	m.exited <- err
 	if err != nil {
 		t.Errorf("the stopped process ended with %v", err)
 	}
 }
 
-// A document with several faults changes nothing: the command prints each with
-// its place and exits with 2, and the store still holds the old one.
-func TestBadDocumentChangesNothing(t *testing.T) {
+// A document with several faults is not applied: the command prints each finding with
+// its position and exits with code 2, and the store keeps the old document.
+func TestInvalidDocumentIsNotApplied(t *testing.T) {
 	f, _ := threeRegions(t)
 	bad := f.write("bad.yaml", "kind: service\nname: notice-writer\ntype: engine\nclases: {}\nretry: {budget: 7}\n")
 	out, err := f.cli("apply", bad)
@@ -202,8 +201,8 @@
 	}
 }
 
-// An operator issues a key while traffic runs, lists the keys, withdraws the new
-// one and tries to issue its id again. The list tells the three states apart.
+// An operator issues a key, withdraws it and tries to issue its id again. The list of
+// keys shows which one is valid and which one was withdrawn.
 func TestKeysAreListed(t *testing.T) {
 	f, _ := threeRegions(t)
 	f.mustCLI("keys", "issue", "suva-grocers", "till-2")
@@ -219,9 +218,10 @@
 	}
 }
 
-// An instance is killed, and a document applied. The command must not report it
-// in force for the dead one, names it, and ends with code 4 at its timeout.
-func TestApplyWaitNamesWhoLacksIt(t *testing.T) {
+// A document is applied after one instance was killed. The command must not report
+// the document in force on that instance; it names the instance and exits with code 4
+// at its timeout.
+func TestApplyWaitNamesInstancesNotInForce(t *testing.T) {
 	f, _ := threeRegions(t)
 	dead := f.instances["lakeba-a-1-entry-1"]
 	dead.signal(t, syscall.SIGKILL)
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// relay passes the bytes of TCP connections on until it is cut. It cuts both
-// ways at once, as a partition does, and refuses connections until it is healed.
+// relay forwards TCP connections until it is cut. A cut closes both directions, as a
+// network partition does, and new connections are closed until the relay is healed.
 type relay struct {
 	address string
 	target  string
@@ -52,12 +52,12 @@
 	if !r.add(in, out) {
 		return
 	}
-	go pass(in, out)
-	pass(out, in)
+	go copyOneWay(in, out)
+	copyOneWay(out, in)
 }
 
-// pass copies one direction and ends both with it.
-func pass(to, from net.Conn) {
+// copyOneWay copies one direction and closes both connections at its end.
+func copyOneWay(to, from net.Conn) {
 	_, _ = io.Copy(to, from)
 	_ = to.Close()
 	_ = from.Close()
