--- a/loadgen/collect.go
+++ b/loadgen/collect.go
@@ -13,17 +13,17 @@
 	histogramDigits = 3
 )
 
-// series gathers the outcomes of one arm, class or account.
-type series struct {
-	sent, done, refused, bad int64
-	retries                  int64
-	tokens                   int64
-	offered                  float64                 // tokens charged at the most if all were admitted
-	first, gap, whole        *hdrhistogram.Histogram // microseconds
+// outcomeStats aggregates the outcomes of one arm, class or account.
+type outcomeStats struct {
+	sent, done, refused, failed   int64
+	retries                       int64
+	tokens                        int64
+	offeredTokens                 float64                 // upper bound of the charge if all were admitted
+	firstToken, gap, responseTime *hdrhistogram.Histogram // microseconds
 }
 
-func newSeries() *series {
-	return &series{first: newHistogram(), gap: newHistogram(), whole: newHistogram()}
+func newOutcomeStats() *outcomeStats {
+	return &outcomeStats{firstToken: newHistogram(), gap: newHistogram(), responseTime: newHistogram()}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -31,66 +31,66 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), histogramMax)) // in range by the clamp
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), histogramMax)) // clamped to the histogram's range
 }
 
-func (s *series) add(p *PlannedRequest, due time.Time, out *Outcome, end time.Time) {
+func (s *outcomeStats) add(p *PlannedRequest, due time.Time, out *Outcome, end time.Time) {
 	s.sent++
 	s.retries += int64(out.Attempts - 1)
 	s.tokens += int64(out.Tokens)
-	s.offered += p.Cost()
+	s.offeredTokens += p.Cost()
 	switch {
 	case out.Code == CodeDone:
 		s.done++
-		record(s.whole, end.Sub(due))
+		record(s.responseTime, end.Sub(due))
 	case out.refused():
 		s.refused++
 	default:
-		s.bad++
+		s.failed++
 	}
 	if !out.First.IsZero() {
-		record(s.first, out.First.Sub(due))
+		record(s.firstToken, out.First.Sub(due))
 	}
 	for _, gap := range out.Gaps {
 		record(s.gap, gap)
 	}
 }
 
-// collector takes outcomes from all requests in flight.
+// collector collects the outcomes of concurrent requests.
 type collector struct {
 	mix *Mix
 
-	mu       sync.Mutex
-	arms     map[string]*series
-	classes  map[string]*series
-	accounts map[string]*series
-	codes    map[CodeCount]int64
-	charges  map[string][]charge // by account
-	hidden   int64               // started in the warm-up
+	mu             sync.Mutex
+	arms           map[string]*outcomeStats
+	classes        map[string]*outcomeStats
+	accounts       map[string]*outcomeStats
+	codes          map[CodeCount]int64
+	charges        map[string][]charge // by account
+	warmupRequests int64               // requests planned within the warm-up
 }
 
 func newCollector(m *Mix) *collector {
 	return &collector{
-		mix: m, arms: make(map[string]*series), classes: make(map[string]*series),
-		accounts: make(map[string]*series), codes: make(map[CodeCount]int64), charges: make(map[string][]charge),
+		mix: m, arms: make(map[string]*outcomeStats), classes: make(map[string]*outcomeStats),
+		accounts: make(map[string]*outcomeStats), codes: make(map[CodeCount]int64), charges: make(map[string][]charge),
 	}
 }
 
 func (c *collector) add(arm string, p *PlannedRequest, due time.Time, out *Outcome, end time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.charges[p.Account.Name] = append(c.charges[p.Account.Name], chargeOf(p, out))
+	c.charges[p.Account.Name] = append(c.charges[p.Account.Name], newCharge(p, out))
 	if p.At < c.mix.Warmup {
-		c.hidden++
+		c.warmupRequests++
 		return
 	}
 	for _, into := range []struct {
-		group map[string]*series
+		group map[string]*outcomeStats
 		name  string
 	}{{c.arms, arm}, {c.classes, p.Kind.Class}, {c.accounts, p.Account.Name}} {
 		s := into.group[into.name]
 		if s == nil {
-			s = newSeries()
+			s = newOutcomeStats()
 			into.group[into.name] = s
 		}
 		s.add(p, due, out, end)
@@ -101,7 +101,7 @@
 func (c *collector) report(took time.Duration) *Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &Report{Seed: c.mix.Seed, Elapsed: took, Warmup: c.hidden}
+	r := &Report{Seed: c.mix.Seed, Elapsed: took, Warmup: c.warmupRequests}
 	r.Arms = rows(c.arms)
 	r.Classes = rows(c.classes)
 	for code, count := range c.codes {
--- a/loadgen/entries.go
+++ b/loadgen/entries.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	entriesTimeout = 5 * time.Second
-	entriesPause   = time.Second // after no instance answered
+	entriesTimeout       = 5 * time.Second
+	entriesRetryInterval = time.Second // after no instance responded, and the minimum between refreshes
 )
 
-// entries are the instances that one account uses.
-type entries struct {
+// entryList is the list of entry instances that one account uses.
+type entryList struct {
 	client *http.Client
 	key    string
 	seeds  []string
@@ -30,11 +30,11 @@
 	ttl  time.Duration
 }
 
-// keepFresh asks again whenever the list's time to live has passed.
-func (e *entries) keepFresh(ctx context.Context) {
+// refreshLoop refreshes the list whenever its time to live has passed.
+func (e *entryList) refreshLoop(ctx context.Context) {
 	for {
 		e.mu.Lock()
-		wait := max(e.ttl, entriesPause)
+		wait := max(e.ttl, entriesRetryInterval)
 		e.mu.Unlock()
 		select {
 		case <-time.After(wait):
@@ -45,12 +45,13 @@
 	}
 }
 
-// refresh asks the instances in use and then the seeds, until one answers.
-func (e *entries) refresh(ctx context.Context) {
+// refresh fetches the list from the instances in use and then from the seeds, until one
+// responds.
+func (e *entryList) refresh(ctx context.Context) {
 	e.mu.Lock()
-	ask := slices.Concat(e.list, e.seeds)
+	candidates := slices.Concat(e.list, e.seeds)
 	e.mu.Unlock()
-	for _, address := range ask {
+	for _, address := range candidates {
 		list, ttl, err := e.fetch(ctx, address)
 		if err != nil || len(list) == 0 {
 			continue
@@ -62,7 +63,7 @@
 	}
 }
 
-func (e *entries) fetch(ctx context.Context, address string) ([]string, time.Duration, error) {
+func (e *entryList) fetch(ctx context.Context, address string) ([]string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, entriesTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address+"/v1/entries", nil)
@@ -75,7 +76,7 @@
 		return nil, 0, errors.Wrap(err, "entries")
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return nil, 0, errors.Newf("entries: status %d", resp.StatusCode)
 	}
@@ -90,8 +91,8 @@
 	return list, time.Duration(answer.TTLMs) * time.Millisecond, nil
 }
 
-// pick returns one of the first instances of the list.
-func (e *entries) pick(n int) string {
+// pick returns one of the first spread instances of the list, chosen by n.
+func (e *entryList) pick(n int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.list) == 0 {
@@ -100,15 +101,15 @@
 	return e.list[n%min(e.spread, len(e.list))]
 }
 
-// replace takes the instances that a refusal named.
-func (e *entries) replace(list []string) {
+// replace sets the list to the instances that a refusal named.
+func (e *entryList) replace(list []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.list = list
 }
 
-// failed moves an instance that does not answer to the end of the list.
-func (e *entries) failed(address string) {
+// moveToEnd moves an instance that does not respond to the end of the list.
+func (e *entryList) moveToEnd(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	i := slices.Index(e.list, address)
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -42,10 +42,10 @@
 	return all
 }
 
-// The seed alone decides who sends what and when; an offender sends its multiple
-// on top of what the others send.
-func TestPlanFollowsFromSeed(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // Idempotency-Keys hold the time
+// The seed alone determines which account sends what and when. The excess load of an
+// offending account comes on top of the configured rate.
+func TestPlanIsDeterministic(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) { // Idempotency-Keys contain the time
 		m := mix(t, testMix)
 		first, second := plan(m), plan(m)
 		counts := make(map[string]int)
@@ -64,18 +64,18 @@
 	})
 }
 
-// slowTarget answers each request after a fixed time.
+// slowTarget responds to each request after a fixed time.
 type slowTarget struct{ takes time.Duration }
 
 func (s slowTarget) Send(_ context.Context, p *PlannedRequest, out *Outcome) {
 	time.Sleep(s.takes)
 	out.Status, out.Code = 200, CodeDone
-	out.token(time.Now(), 1)
+	out.recordTokens(time.Now(), 1)
 }
 
-// A fleet that stalls for a minute must not slow the load down: all requests of
-// the plan start in time, and each latency holds the whole stall.
-func TestLoadDoesNotWaitForAnswers(t *testing.T) {
+// A fleet that stalls for a minute must not slow the load down: all planned requests
+// start on time, and each latency includes the complete stall.
+func TestLoadIsOpenLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := mix(t, testMix)
 		want := len(plan(m))
@@ -105,9 +105,9 @@
 	return b.String()
 }
 
-// The load tool is what tells whether callers got their own whole answers, so
-// it has to see a missing, a foreign and a repeated token, and a missing end.
-func TestAnswersAreChecked(t *testing.T) {
+// The load tool verifies that callers get their own complete responses, so it has to
+// detect a missing, a foreign and a repeated token, and a missing end of the stream.
+func TestStreamVerification(t *testing.T) {
 	const prompt, done = "a prompt", "data: [DONE]\n\n"
 	one, two := engine.Token(prompt, 0), engine.Token(prompt, 1)
 	for name, test := range map[string]struct{ stream, want string }{
@@ -128,28 +128,28 @@
 	}
 }
 
-// Prompts that share a long prefix have answers of their own, or a caller that
-// got another's answer would not be noticed.
-func TestSharedPrefixesHaveOwnAnswers(t *testing.T) {
+// Prompts that share a long prefix need distinct responses; otherwise a caller that got
+// the response to another prompt would not be detected.
+func TestPromptsWithSharedPrefixHaveDistinctResponses(t *testing.T) {
 	prefix := strings.Repeat("shared ", 300)
 	if engine.Token(prefix+"a", 0) == engine.Token(prefix+"b", 0) {
-		t.Error("two prompts, one answer")
+		t.Error("two prompts with a shared prefix have the same first token")
 	}
 }
 
-// A refusal within the rate is wrongful; one after the account has used up its
-// burst is not.
+// A refusal while the account's token bucket holds enough tokens is wrongful; one after
+// the account has used up its burst is not.
 func TestRefusalsWithinRate(t *testing.T) {
 	charges := []charge{
-		{at: 1 * time.Second, cost: 100, limited: true}, // the burst is untouched
-		{at: 2 * time.Second, cost: 100, used: 100},
-		{at: 3 * time.Second, cost: 20, limited: true}, // 10 tokens since
-		{at: 4 * time.Second, cost: 20, limited: true}, // 20 tokens since
+		{at: 1 * time.Second, maxTokens: 100, rateLimited: true}, // the burst is untouched
+		{at: 2 * time.Second, maxTokens: 100, usedTokens: 100},
+		{at: 3 * time.Second, maxTokens: 20, rateLimited: true}, // 10 tokens since
+		{at: 4 * time.Second, maxTokens: 20, rateLimited: true}, // 20 tokens since
 	}
-	if got := withinRate(10, 100, 0, slices.Clone(charges)); got != 2 {
+	if got := countRefusedWithinRate(10, 100, 0, slices.Clone(charges)); got != 2 {
 		t.Errorf("%d wrongful refusals, want 2", got)
 	}
-	if got := withinRate(10, 100, 2*time.Second, charges); got != 1 {
+	if got := countRefusedWithinRate(10, 100, 2*time.Second, charges); got != 1 {
 		t.Errorf("%d wrongful refusals after the warm-up, want 1", got)
 	}
 }
--- a/loadgen/mix.go
+++ b/loadgen/mix.go
@@ -7,16 +7,16 @@
 	"github.com/basilroute/basilroute/yamldoc"
 )
 
-// Arrivals names how the starts of requests are spread in time.
+// Arrivals names the arrival process of the requests.
 type Arrivals string
 
-// Arrivals of requests.
+// Arrival processes.
 const (
 	ArrivalsPoisson Arrivals = "poisson"
 	ArrivalsFixed   Arrivals = "fixed"
 )
 
-// Defaults of a mix.
+// Defaults of a mix. The rate is in requests per second.
 const (
 	defaultRate     = 20
 	defaultDuration = 20 * time.Second
@@ -24,15 +24,15 @@
 	defaultSpread   = 2
 )
 
-// Mix describes the load: who sends what, how often.
+// Mix describes the load: which accounts send which requests, and how often.
 type Mix struct {
 	Seed     int64         `yaml:"seed"`
-	Rate     float64       `yaml:"rate"` // requests per second of all accounts, offenders' excess not counted
+	Rate     float64       `yaml:"rate"` // requests per second of all accounts, without the excess of multiplied accounts
 	Duration time.Duration `yaml:"duration"`
-	Warmup   time.Duration `yaml:"warmup"` // at the start, sent but not measured
+	Warmup   time.Duration `yaml:"warmup"` // initial period whose requests are sent but not measured
 	Arrivals Arrivals      `yaml:"arrivals"`
 	Timeout  time.Duration `yaml:"timeout"` // of one request
-	Retries  int64         `yaml:"retries"` // of requests refused as not run, after retry_after_ms
+	Retries  int64         `yaml:"retries"` // max retries of requests refused as not run, after retry_after_ms
 	Spread   int64         `yaml:"spread"`  // how many of the listed entries an account uses
 	Accounts []Account     `yaml:"accounts"`
 }
@@ -42,8 +42,8 @@
 	Name           string        `yaml:"name"`
 	Key            string        `yaml:"key"`      // as callers present it
 	Share          float64       `yaml:"share"`    // weight among the accounts
-	LoadMultiplier float64       `yaml:"multiply"` // sends this many times its share; 1 when not given
-	Rate           float64       `yaml:"rate"`     // of its document, tokens per second; 0 leaves its due unknown
+	LoadMultiplier float64       `yaml:"multiply"` // sends this many times its share; default 1
+	Rate           float64       `yaml:"rate"`     // of its document, tokens per second; 0 if unknown, then due tokens are not reported
 	Burst          float64       `yaml:"burst"`    // of its document, tokens
 	Requests       []RequestKind `yaml:"requests"`
 }
@@ -53,21 +53,21 @@
 	Weight       float64  `yaml:"weight"`
 	Service      string   `yaml:"service"`
 	Class        string   `yaml:"class"`
-	Operation    string   `yaml:"operation"`   // of a plain service; a generation when empty
+	Operation    string   `yaml:"operation"`   // of a plain service; empty for a generation
 	Idempotency  bool     `yaml:"idempotency"` // send an Idempotency-Key
-	NonStreaming bool     `yaml:"whole"`       // ask for the answer in one piece
+	NonStreaming bool     `yaml:"whole"`       // request without streaming
 	PromptTokens Range    `yaml:"prompt_tokens"`
 	OutputTokens Range    `yaml:"output_tokens"`
 	Prefixes     Prefixes `yaml:"prefixes"`
 }
 
-// Range is a log-uniform distribution: most values are small, a few are long.
+// Range is a log-uniform distribution: most values are small, a few are large.
 type Range struct {
 	Min int64 `yaml:"min"`
 	Max int64 `yaml:"max"`
 }
 
-// Prefixes are prompt beginnings that requests of an account share.
+// Prefixes describes the prompt prefixes that requests of an account share.
 type Prefixes struct {
 	Count  int64 `yaml:"count"`
 	Tokens int64 `yaml:"tokens"` // length of each
@@ -80,10 +80,10 @@
 		Arrivals: ArrivalsPoisson, Spread: defaultSpread,
 	}
 	r := yamldoc.Decode(file, data, m)
-	positive(r, "rate", m.Rate)
-	positive(r, "duration", m.Duration.Seconds())
-	positive(r, "timeout", m.Timeout.Seconds())
-	positive(r, "spread", float64(m.Spread))
+	checkPositive(r, "rate", m.Rate)
+	checkPositive(r, "duration", m.Duration.Seconds())
+	checkPositive(r, "timeout", m.Timeout.Seconds())
+	checkPositive(r, "spread", float64(m.Spread))
 	if m.Arrivals != ArrivalsPoisson && m.Arrivals != ArrivalsFixed {
 		r.Addf("arrivals", "want poisson or fixed, have %q", m.Arrivals)
 	}
@@ -99,7 +99,7 @@
 	return m, r.Err()
 }
 
-func positive(r *yamldoc.Report, path string, v float64) {
+func checkPositive(r *yamldoc.Report, path string, v float64) {
 	if !(v > 0) { // written so that NaN is a finding
 		r.Addf(path, "want above 0, have %g", v)
 	}
@@ -112,8 +112,8 @@
 	if a.LoadMultiplier == 0 {
 		a.LoadMultiplier = 1
 	}
-	positive(r, path+".share", a.Share)
-	positive(r, path+".multiply", a.LoadMultiplier)
+	checkPositive(r, path+".share", a.Share)
+	checkPositive(r, path+".multiply", a.LoadMultiplier)
 	if len(a.Requests) == 0 {
 		r.Addf(path+".requests", "at least one kind of request is needed")
 	}
@@ -129,7 +129,7 @@
 	if q.Class == "" {
 		q.Class = "interactive"
 	}
-	positive(r, path+".weight", q.Weight)
+	checkPositive(r, path+".weight", q.Weight)
 	if q.Service == "" {
 		r.Addf(path+".service", "is required")
 	}
--- a/loadgen/outcome.go
+++ b/loadgen/outcome.go
@@ -4,33 +4,33 @@
 	"time"
 )
 
-// Codes that the load tool gives to outcomes besides the gateway's own.
+// Codes of outcomes in addition to the gateway's refusal codes.
 const (
 	CodeDone          = "done"
-	CodeConnection    = "connection_failed" // no answer, or one that is no refusal
+	CodeConnection    = "connection_failed" // no response, or an error response that is not a refusal
 	CodeIncomplete    = "stream_incomplete" // the stream ended with an incomplete event
 	CodeCut           = "stream_cut"        // the stream ended without its last event
-	CodeWrongAnswer   = "wrong_answer"      // not the whole answer to this prompt, and only that
+	CodeWrongAnswer   = "wrong_answer"      // response is not exactly the complete one to this prompt
 	CodeClientTimeout = "client_timeout"    // longer than the mix's timeout
 )
 
 // Outcome is what the caller saw of one request.
 type Outcome struct {
-	Status     int // of HTTP; 0 without an answer
+	Status     int // HTTP status; 0 without a response
 	Code       string
-	Run        string        // of a refusal
+	Run        string        // run state of a refusal
 	Detail     string        // code of the incomplete event
 	RetryAfter time.Duration // of a refusal
 	Entries    []string      // addresses named by a refusal
 	Attempts   int
-	Tokens     int       // of output
-	First      time.Time // first token; zero without one
+	Tokens     int       // output tokens
+	First      time.Time // arrival of the first token; zero without one
 	End        time.Time
 	Gaps       []time.Duration // between tokens
 }
 
-// token notes the arrival of output.
-func (o *Outcome) token(now time.Time, count int) {
+// recordTokens records the arrival of count output tokens.
+func (o *Outcome) recordTokens(now time.Time, count int) {
 	if o.Tokens == 0 {
 		o.First = now
 	} else {
@@ -40,5 +40,5 @@
 	o.End = now
 }
 
-// refused tells whether the request was refused rather than answered badly.
+// refused reports whether the gateway refused the request.
 func (o *Outcome) refused() bool { return o.Status != 0 && o.Status != 200 }
--- a/loadgen/plan.go
+++ b/loadgen/plan.go
@@ -12,23 +12,23 @@
 	"github.com/basilroute/basilroute/protocol/tokens"
 )
 
-// bytesPerToken is what the gateway estimates a token at.
+// bytesPerToken is the size at which the gateway estimates a token.
 const bytesPerToken = 4
 
 // PlannedRequest is one request of the plan.
 type PlannedRequest struct {
 	Number    int
-	At        time.Duration // start, from the beginning of the run
+	At        time.Duration // planned start, relative to the start of the run
 	Account   *Account
 	Kind      *RequestKind
 	Prompt    string
 	MaxTokens int
 	Body      []byte // of a plain operation
-	Key       string // Idempotency-Key; none when empty
+	Key       string // Idempotency-Key; empty for none
 }
 
-// Cost is what the account is charged for the request at the most, in tokens.
-// The price of a plain operation stands in its service's document and is not known here.
+// Cost returns the maximum charge of the request in tokens. It returns 0 for a plain
+// operation, whose cost is defined in the service's document and not known here.
 func (p *PlannedRequest) Cost() float64 {
 	if p.Kind.Operation != "" {
 		return 0
@@ -36,33 +36,33 @@
 	return float64(tokens.Estimate(p.Prompt) + p.MaxTokens)
 }
 
-// planner makes the requests of a mix in the order of their starts. The same
-// mix gives the same requests.
+// planner generates the requests of a mix in the order of their planned starts. The
+// same mix gives the same requests.
 type planner struct {
-	mix    *Mix
-	rng    *rand.Rand
-	now    time.Duration
-	number int
-	total  float64 // weight of all accounts, offenders' excess counted
-	mean   time.Duration
+	mix         *Mix
+	rng         *rand.Rand
+	now         time.Duration
+	number      int
+	totalWeight float64 // of all accounts, including the excess of multiplied accounts
+	meanGap     time.Duration
 }
 
 func newPlanner(m *Mix) *planner {
 	p := &planner{mix: m, rng: rand.New(rand.NewPCG(uint64(m.Seed), 0))}
-	plain := 0.0
+	totalShare := 0.0
 	for _, a := range m.Accounts {
-		p.total += a.Share * a.LoadMultiplier
-		plain += a.Share
+		p.totalWeight += a.Share * a.LoadMultiplier
+		totalShare += a.Share
 	}
-	p.mean = time.Duration(float64(time.Second) / (m.Rate * p.total / plain))
+	p.meanGap = time.Duration(float64(time.Second) / (m.Rate * p.totalWeight / totalShare))
 	return p
 }
 
 // next returns the next request, or nil at the end of the run.
 func (p *planner) next() *PlannedRequest {
-	gap := p.mean
+	gap := p.meanGap
 	if p.mix.Arrivals == ArrivalsPoisson {
-		gap = time.Duration(float64(p.mean) * p.rng.ExpFloat64())
+		gap = time.Duration(float64(p.meanGap) * p.rng.ExpFloat64())
 	}
 	p.now += gap
 	if p.now >= p.mix.Duration {
@@ -76,7 +76,7 @@
 }
 
 func (p *planner) account() *Account {
-	x := p.rng.Float64() * p.total
+	x := p.rng.Float64() * p.totalWeight
 	for i := range p.mix.Accounts {
 		a := &p.mix.Accounts[i]
 		if x -= a.Share * a.LoadMultiplier; x < 0 {
@@ -112,15 +112,16 @@
 	}
 	prefix := ""
 	if q.Prefixes.Count > 0 {
-		prefix = text(fmt.Sprintf("%s/%s/%d ", planned.Account.Name, q.Service, p.rng.Int64N(q.Prefixes.Count)), q.Prefixes.Tokens)
+		prefix = repeatToTokens(fmt.Sprintf("%s/%s/%d ", planned.Account.Name, q.Service, p.rng.Int64N(q.Prefixes.Count)), q.Prefixes.Tokens)
 	}
-	own := text(fmt.Sprintf("%s ", id), p.draw(q.PromptTokens))
-	planned.Prompt = prefix + own
+	suffix := repeatToTokens(fmt.Sprintf("%s ", id), p.draw(q.PromptTokens))
+	planned.Prompt = prefix + suffix
 	planned.MaxTokens = int(p.draw(q.OutputTokens))
 }
 
-// text repeats a seed up to a length in tokens.
-func text(seed string, length int64) string {
+// repeatToTokens repeats a seed text up to a length in tokens. The result is at least
+// as long as the seed.
+func repeatToTokens(seed string, length int64) string {
 	want := int(length) * bytesPerToken
 	return strings.Repeat(seed, want/len(seed)+1)[:max(want, len(seed))]
 }
@@ -130,8 +131,8 @@
 	return min(g.Max, int64(math.Exp(low+p.rng.Float64()*(high-low))))
 }
 
-// uuid returns a UUIDv7 of now with random bits from the seed: the gateway
-// refuses one whose time is too far off.
+// uuid returns a UUIDv7 with random bits from the seed. It has the current time, since
+// the gateway refuses a key whose time is too far off.
 func (p *planner) uuid() uuid.UUID {
 	var id uuid.UUID
 	at := uint64(time.Now().UnixMilli())
--- a/loadgen/report.go
+++ b/loadgen/report.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the outcome of a run.
+// Report holds the results of a run.
 type Report struct {
 	Seed     int64         `json:"seed"`
 	Elapsed  time.Duration `json:"took_ns"`
@@ -29,7 +29,7 @@
 	Sent         int64     `json:"sent"`
 	Done         int64     `json:"done"`
 	Refused      int64     `json:"refused"`
-	Failed       int64     `json:"bad"` // neither a whole answer nor a refusal
+	Failed       int64     `json:"bad"` // neither a complete response nor a refusal
 	Retries      int64     `json:"retries"`
 	Tokens       int64     `json:"tokens"`
 	FirstToken   Quantiles `json:"first_token_us"`
@@ -37,7 +37,7 @@
 	ResponseTime Quantiles `json:"whole_us"`
 }
 
-// Quantiles are of durations in microseconds.
+// Quantiles holds quantiles of durations in microseconds.
 type Quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -46,14 +46,14 @@
 	Max   int64 `json:"max"`
 }
 
-// AccountRow is what one account got.
+// AccountRow sums up the requests and tokens of one account.
 type AccountRow struct {
 	Row
-	OfferedTokens     float64 `json:"offered_tokens"` // at the most, prompt and output
-	DueTokens         float64 `json:"due_tokens"`     // what its rate and burst allow of that while requests start; 0 when they are not known
-	AllowedTokens     float64 `json:"allowed_tokens"` // what they allow until the last answer: requests wait for tokens
+	OfferedTokens     float64 `json:"offered_tokens"` // upper bound, prompt and output
+	DueTokens         float64 `json:"due_tokens"`     // offered tokens that rate and burst allow until the last planned start; 0 if the rate is not known
+	AllowedTokens     float64 `json:"allowed_tokens"` // tokens that rate and burst allow until the last response, since requests may wait for tokens
 	ServedTokens      float64 `json:"served_tokens"`
-	ServedFraction    float64 `json:"served_part"` // of what is due
+	ServedFraction    float64 `json:"served_part"` // served tokens as a fraction of the due tokens
 	RefusedWithinRate int64   `json:"refused_within_rate"`
 }
 
@@ -78,14 +78,14 @@
 	}
 }
 
-func row(name string, s *series) Row {
+func row(name string, s *outcomeStats) Row {
 	return Row{
-		Name: name, Sent: s.sent, Done: s.done, Refused: s.refused, Failed: s.bad, Retries: s.retries, Tokens: s.tokens,
-		FirstToken: quantiles(s.first), Gap: quantiles(s.gap), ResponseTime: quantiles(s.whole),
+		Name: name, Sent: s.sent, Done: s.done, Refused: s.refused, Failed: s.failed, Retries: s.retries, Tokens: s.tokens,
+		FirstToken: quantiles(s.firstToken), Gap: quantiles(s.gap), ResponseTime: quantiles(s.responseTime),
 	}
 }
 
-func rows(group map[string]*series) []Row {
+func rows(group map[string]*outcomeStats) []Row {
 	var out []Row
 	for name, s := range group {
 		out = append(out, row(name, s))
@@ -94,18 +94,18 @@
 	return out
 }
 
-func accountRow(m *Mix, a *Account, s *series, charges []charge, took time.Duration) AccountRow {
-	out := AccountRow{Row: row(a.Name, s), OfferedTokens: s.offered}
+func accountRow(m *Mix, a *Account, s *outcomeStats, charges []charge, took time.Duration) AccountRow {
+	out := AccountRow{Row: row(a.Name, s), OfferedTokens: s.offeredTokens}
 	for _, c := range charges {
 		if c.at >= m.Warmup {
-			out.ServedTokens += c.used
+			out.ServedTokens += c.usedTokens
 		}
 	}
 	if a.Rate > 0 {
 		measured := (m.Duration - m.Warmup).Seconds()
 		out.DueTokens = min(out.OfferedTokens, a.Rate*measured+a.Burst)
 		out.AllowedTokens = a.Rate*(took-m.Warmup).Seconds() + a.Burst
-		out.RefusedWithinRate = withinRate(a.Rate, a.Burst, m.Warmup, charges)
+		out.RefusedWithinRate = countRefusedWithinRate(a.Rate, a.Burst, m.Warmup, charges)
 	}
 	if out.DueTokens > 0 {
 		out.ServedFraction = out.ServedTokens / out.DueTokens
@@ -120,7 +120,7 @@
 	return encoder.Encode(r)
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as a table.
 func (r *Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(table, "seed %d, %s, %d requests of the warm-up not counted\n\n", r.Seed, r.Elapsed.Round(time.Millisecond), r.Warmup)
@@ -129,8 +129,8 @@
 	fmt.Fprintln(table, "ACCOUNT\tSENT\tDONE\tREFUSED\tWITHIN RATE\tBAD\tOFFERED\tSERVED\tDUE\tSERVED/DUE\tALLOWED\tFIRST p99")
 	for _, a := range r.Accounts {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%s\t%d\t%.0f\t%.0f\t%s\t%s\t%s\t%s\n", a.Name, a.Sent, a.Done, a.Refused,
-			known(a.DueTokens, "%.0f", float64(a.RefusedWithinRate)), a.Failed, a.OfferedTokens, a.ServedTokens,
-			known(a.DueTokens, "%.0f", a.DueTokens), known(a.DueTokens, "%.3f", a.ServedFraction), known(a.DueTokens, "%.0f", a.AllowedTokens), micros(a.FirstToken.P99))
+			formatIfRateKnown(a.DueTokens, "%.0f", float64(a.RefusedWithinRate)), a.Failed, a.OfferedTokens, a.ServedTokens,
+			formatIfRateKnown(a.DueTokens, "%.0f", a.DueTokens), formatIfRateKnown(a.DueTokens, "%.3f", a.ServedFraction), formatIfRateKnown(a.DueTokens, "%.0f", a.AllowedTokens), micros(a.FirstToken.P99))
 	}
 	fmt.Fprintln(table, "\nSTATUS\tCODE\tRUN\tREASON\tCOUNT")
 	for _, c := range r.Codes {
@@ -154,8 +154,9 @@
 	return (time.Duration(n) * time.Microsecond).Round(10 * time.Microsecond).String()
 }
 
-// known formats a figure that needs the account's rate.
-func known(due float64, format string, v float64) string {
+// formatIfRateKnown formats a figure that depends on the account's rate, or returns "-"
+// if the rate is not known.
+func formatIfRateKnown(due float64, format string, v float64) string {
 	if due == 0 {
 		return "-"
 	}
--- a/loadgen/answer.go
+++ b/loadgen/response.go
@@ -13,38 +13,41 @@
 	"github.com/basilroute/basilroute/standin/engine"
 )
 
-// checker compares an answer with what the engine stand-in says to a prompt.
-type checker struct {
-	mark engine.PromptHash
-	next int
-	bad  bool
+// responseChecker compares a response with the tokens that the engine stand-in generates
+// for a prompt.
+type responseChecker struct {
+	mark      engine.PromptHash
+	nextToken int
+	mismatch  bool
 }
 
-func newChecker(prompt string) *checker { return &checker{mark: engine.HashPrompt(prompt)} }
+func newResponseChecker(prompt string) *responseChecker {
+	return &responseChecker{mark: engine.HashPrompt(prompt)}
+}
 
-func (c *checker) add(text string) {
+func (c *responseChecker) add(text string) {
 	for len(text) > 0 {
-		want := c.mark.Token(c.next)
+		want := c.mark.Token(c.nextToken)
 		rest, ok := strings.CutPrefix(text, want)
 		if !ok {
-			c.bad = true
+			c.mismatch = true
 			return
 		}
 		text = rest
-		c.next++
+		c.nextToken++
 	}
 }
 
-// verdict is the code of an answer that ended as a whole one. The stand-in
-// answers with as many tokens as were asked for.
-func (c *checker) verdict(want int) string {
-	if c.bad || c.next != want {
+// resultCode returns the outcome code of a response that ended normally. The stand-in
+// generates exactly as many tokens as were requested.
+func (c *responseChecker) resultCode(want int) string {
+	if c.mismatch || c.nextToken != want {
 		return CodeWrongAnswer
 	}
 	return CodeDone
 }
 
-// event is what the load tool reads of a server-sent event.
+// event holds the fields of a server-sent event that the load tool uses.
 type event struct {
 	text   string
 	finish string
@@ -57,14 +60,14 @@
 )
 
 const (
-	doneMark  = "[DONE]"
-	lineBytes = 16 << 10
+	doneSentinel = "[DONE]"
+	maxLineBytes = 16 << 10
 )
 
 // readEvents reads a stream of server-sent events to its end.
 func readEvents(r io.Reader, p *PlannedRequest, out *Outcome) {
-	lines := bufio.NewReaderSize(r, lineBytes)
-	check := newChecker(p.Prompt)
+	lines := bufio.NewReaderSize(r, maxLineBytes)
+	check := newResponseChecker(p.Prompt)
 	incomplete := false
 	for {
 		line, err := lines.ReadSlice('\n')
@@ -81,9 +84,9 @@
 		if !ok {
 			continue
 		}
-		if string(data) == doneMark {
-			out.Code = check.verdict(p.MaxTokens)
-			_, _ = io.Copy(io.Discard, lines) // to the end, so that the connection is used again
+		if string(data) == doneSentinel {
+			out.Code = check.resultCode(p.MaxTokens)
+			_, _ = io.Copy(io.Discard, lines) // drains the body, so that the connection is reused
 			return
 		}
 		e, err := parseEvent(data)
@@ -97,7 +100,7 @@
 		}
 		if e.text != "" {
 			check.add(e.text)
-			out.token(time.Now(), 1)
+			out.recordTokens(time.Now(), 1)
 		}
 	}
 }
@@ -136,10 +139,10 @@
 	})
 }
 
-// readFrames reads an engine's own stream to its end.
+// readFrames reads a stream of engine frames to its end.
 func readFrames(r io.Reader, p *PlannedRequest, out *Outcome) {
-	lines := bufio.NewReaderSize(r, lineBytes)
-	check := newChecker(p.Prompt)
+	lines := bufio.NewReaderSize(r, maxLineBytes)
+	check := newResponseChecker(p.Prompt)
 	var f frame.Frame
 	for {
 		line, err := lines.ReadSlice('\n')
@@ -153,11 +156,11 @@
 		}
 		if f.Text != "" {
 			check.add(f.Text)
-			out.token(time.Now(), f.Tokens)
+			out.recordTokens(time.Now(), f.Tokens)
 		}
 		if f.Finish != "" {
-			out.Code = check.verdict(p.MaxTokens)
-			_, _ = io.Copy(io.Discard, lines) // to the end, so that the connection is used again
+			out.Code = check.resultCode(p.MaxTokens)
+			_, _ = io.Copy(io.Discard, lines) // drains the body, so that the connection is reused
 			return
 		}
 	}
--- a/loadgen/run.go
+++ b/loadgen/run.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Arm is a target under a name of its own in the report.
+// Arm is a target with the name under which it is reported.
 type Arm struct {
 	Name   string
 	Target Target
 }
 
-// Run sends the mix and returns what was seen. With several arms, each request
-// goes to one of them in turn, so that all see the same load and the same noise
-// of the machine. The error is that of ctx; the report holds what was measured.
+// Run sends the requests of the mix and reports their outcomes. With several arms,
+// requests go to them in turn, so that all get the same load under the same conditions
+// of the machine. The error is that of ctx; the report is valid in either case.
 func Run(ctx context.Context, m *Mix, arms ...Arm) (*Report, error) {
 	collector := newCollector(m)
 	planner := newPlanner(m)
--- a/loadgen/target.go
+++ b/loadgen/target.go
@@ -14,65 +14,65 @@
 	"github.com/basilroute/basilroute/protocol/gatewayapi"
 )
 
-// Target is what requests are sent to.
+// Target is a destination of requests.
 type Target interface {
-	// Send carries one request to its end and fills in what the caller saw.
+	// Send sends one request, reads its response and fills in the outcome.
 	Send(ctx context.Context, p *PlannedRequest, out *Outcome)
 }
 
 const (
-	idlePerHost    = 1024
-	maxAnswerBytes = 16 << 20
+	idlePerHost      = 1024
+	maxResponseBytes = 16 << 20
 )
 
-// Transport carries requests on connections that are kept.
+// Transport is an HTTP transport with keep-alive connections.
 type Transport = *http.Transport
 
-// NewTransport returns connections for many requests at once.
+// NewTransport returns a transport for many concurrent requests.
 func NewTransport() Transport {
 	return &http.Transport{MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: time.Minute, DisableCompression: true}
 }
 
-// Gateway sends requests to entry instances, as a well-behaved caller does: it
-// uses the instances that /v1/entries names for its account.
+// Gateway sends requests to entry instances as a well-behaved caller does: each account
+// uses the instances that /v1/entries lists for it.
 type Gateway struct {
-	client  *http.Client
-	callers map[string]*entries // by account
-	retries int64
+	client     *http.Client
+	entryLists map[string]*entryList // by account
+	retries    int64
 }
 
-// NewGateway finds the instances for every account of the mix through one of
-// the seeds, and goes on refreshing them until ctx ends.
+// NewGateway fetches the list of instances for every account of the mix from one of the
+// seeds, and refreshes the lists until ctx is done.
 func NewGateway(ctx context.Context, m *Mix, seeds []string, transport Transport) *Gateway {
-	g := &Gateway{client: &http.Client{Transport: transport}, callers: make(map[string]*entries), retries: m.Retries}
+	g := &Gateway{client: &http.Client{Transport: transport}, entryLists: make(map[string]*entryList), retries: m.Retries}
 	for i := range m.Accounts {
 		a := &m.Accounts[i]
-		e := &entries{client: g.client, key: a.Key, seeds: seeds, spread: int(m.Spread)}
-		g.callers[a.Name] = e
+		e := &entryList{client: g.client, key: a.Key, seeds: seeds, spread: int(m.Spread)}
+		g.entryLists[a.Name] = e
 		e.refresh(ctx)
-		go e.keepFresh(ctx)
+		go e.refreshLoop(ctx)
 	}
 	return g
 }
 
-// NewFixedGateway sends everything to one instance.
+// NewFixedGateway returns a Gateway that sends all requests to one instance.
 func NewFixedGateway(m *Mix, address string, transport Transport) *Gateway {
-	g := &Gateway{client: &http.Client{Transport: transport}, callers: make(map[string]*entries), retries: m.Retries}
+	g := &Gateway{client: &http.Client{Transport: transport}, entryLists: make(map[string]*entryList), retries: m.Retries}
 	for _, a := range m.Accounts {
-		g.callers[a.Name] = &entries{seeds: []string{address}, spread: 1}
+		g.entryLists[a.Name] = &entryList{seeds: []string{address}, spread: 1}
 	}
 	return g
 }
 
 // Send implements Target.
 func (g *Gateway) Send(ctx context.Context, p *PlannedRequest, out *Outcome) {
-	e := g.callers[p.Account.Name]
+	e := g.entryLists[p.Account.Name]
 	for attempt := 0; ; attempt++ {
 		*out = Outcome{Attempts: attempt + 1}
 		address := e.pick(p.Number + attempt)
-		g.once(ctx, address, p, out)
+		g.sendOnce(ctx, address, p, out)
 		if out.Code == CodeConnection {
-			e.failed(address)
+			e.moveToEnd(address)
 		}
 		if len(out.Entries) > 0 {
 			e.replace(out.Entries)
@@ -88,7 +88,7 @@
 	}
 }
 
-func (g *Gateway) once(ctx context.Context, address string, p *PlannedRequest, out *Outcome) {
+func (g *Gateway) sendOnce(ctx context.Context, address string, p *PlannedRequest, out *Outcome) {
 	req, err := gatewayRequest(ctx, address, p)
 	if err != nil {
 		out.Code = CodeConnection
@@ -110,7 +110,7 @@
 	case p.Kind.Operation != "":
 		readOperation(resp.Body, p, out)
 	case p.Kind.NonStreaming:
-		readWhole(resp.Body, p, out)
+		readCompletion(resp.Body, p, out)
 	default:
 		readEvents(resp.Body, p, out)
 	}
@@ -143,13 +143,13 @@
 	if p.Key != "" {
 		req.Header.Set("Idempotency-Key", p.Key)
 	}
-	req.GetBody = nil // the load tool counts each try; net/http must not send again by itself
+	req.GetBody = nil // keeps net/http from retrying by itself, since every attempt has to be counted
 	return req, nil
 }
 
 func readRefusal(body io.Reader, out *Outcome) {
 	var r gatewayapi.Refusal
-	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(body, maxResponseBytes))
 	if err != nil || r.UnmarshalJSON(data) != nil {
 		out.Code = CodeConnection
 		return
@@ -176,19 +176,19 @@
 	}
 }
 
-func readWhole(body io.Reader, p *PlannedRequest, out *Outcome) {
+func readCompletion(body io.Reader, p *PlannedRequest, out *Outcome) {
 	var answer gatewayapi.Completion
-	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(body, maxResponseBytes))
 	if err != nil || answer.UnmarshalJSON(data) != nil || len(answer.Choices) != 1 {
 		out.Code = CodeCut
 		return
 	}
-	check := newChecker(p.Prompt)
+	check := newResponseChecker(p.Prompt)
 	check.add(answer.Choices[0].Text)
-	out.Code, out.Tokens = check.verdict(p.MaxTokens), check.next
+	out.Code, out.Tokens = check.resultCode(p.MaxTokens), check.nextToken
 }
 
-// Engine sends generations straight to an engine, past the gateway.
+// Engine sends generations directly to an engine, bypassing the gateway.
 type Engine struct {
 	Client *http.Client
 	URL    string
