--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -1,6 +1,7 @@
-// Package experiment measures the decisions against simpler baselines in virtual
-// time. Every experiment is driven by a seed, so that anyone can run it again.
-// The tables land in docs/MEASUREMENTS.md by `basilroute experiment --write`.
+// Package experiment compares the routing, admission, quota and retry decisions with
+// simpler baselines in virtual time. Every experiment is determined by a seed, so that
+// it can be reproduced. `basilroute experiment --write` writes the tables to
+// docs/MEASUREMENTS.md.
 package experiment
 
 import (
@@ -9,21 +10,21 @@
 	"strings"
 )
 
-// Table is the outcome of an experiment.
+// Table is the result of an experiment.
 type Table struct {
 	Columns []string
 	Rows    [][]string
-	Notes   []string // what the rows show, and which goal is met or missed
+	Notes   []string // what the rows show, and whether each goal is met or missed
 }
 
 // Experiment is one comparison.
 type Experiment struct {
-	Name  string // for the command line
+	Name  string // on the command line
 	Title string
 	Run   func(seed uint64) (Table, error)
 }
 
-// All returns every experiment in the order of the page.
+// All returns the experiments in the order of their sections on the page.
 func All() []Experiment {
 	all := []Experiment{
 		{Name: "quota", Title: "Fair share: rate and burst across the fleet", Run: quotaExperiment},
@@ -31,7 +32,7 @@
 	return append(all, policyExperiments()...)
 }
 
-// WriteMarkdown writes the outcome as a section of the page.
+// WriteMarkdown writes the table as a section of the page.
 func (t Table) WriteMarkdown(w io.Writer, e Experiment, seed uint64) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "## %s\n\n`basilroute experiment --seed %d %s`\n\n", e.Title, seed, e.Name)
--- a/experiment/policy.go
+++ b/experiment/policy.go
@@ -10,13 +10,13 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// simDeployment is one of the users' deployments.
+// simDeployment is a model of one user's deployment.
 type simDeployment struct {
 	name              string
 	policy            service.Policy
 	regions           []string
 	engines           []int   // by region
-	interactive, bulk float64 // requests a second for each engine, on average
+	interactive, bulk float64 // mean requests per second and engine
 }
 
 func (d simDeployment) service() *service.Service {
@@ -41,11 +41,11 @@
 
 const offenderAccount = 3
 
-// simScenario is what happens in a run.
+// simScenario is the load and the fault of a run.
 type simScenario struct {
 	name       string
-	offender   float64 // what one account sends, against its rate
-	bulk       float64 // bulk load against the usual
+	offender   float64 // load of one account as a multiple of its usual load
+	bulk       float64 // bulk load as a multiple of the usual bulk load
 	lostRegion bool
 }
 
@@ -68,7 +68,7 @@
 	routeRoundRobin
 )
 
-// simPolicy is a way to decide.
+// simPolicy is a combination of a routing and a queueing policy.
 type simPolicy struct {
 	name  string
 	route routeKind
@@ -85,14 +85,14 @@
 	}
 }
 
-// outcome is what a run measured.
+// outcome holds the measurements of a run.
 type outcome struct {
 	p50, p99, bulk50, bulk99 time.Duration
-	busy                     time.Duration
-	again                    float64 // share of the prompt tokens computed
-	away                     float64
-	worst                    float64
-	wrongful                 float64
+	engineBusy               time.Duration
+	recomputed               float64 // fraction of the computed prompt tokens
+	spilled                  float64
+	worstAccount             float64
+	refusedWithinRate        float64
 }
 
 func (s *policySim) outcome() outcome {
@@ -102,24 +102,24 @@
 	prefilled, again := 0, 0
 	for _, r := range s.regions {
 		for _, e := range r.engines {
-			o.busy += e.busy
+			o.engineBusy += e.busy
 			prefilled += e.prefilled
-			again += e.again
+			again += e.recomputed
 		}
 	}
-	o.again = float64(again) / float64(max(prefilled, 1))
-	o.away = float64(s.away) / float64(max(len(s.interactive)+len(s.bulk), 1))
-	o.worst = 1
+	o.recomputed = float64(again) / float64(max(prefilled, 1))
+	o.spilled = float64(s.spilled) / float64(max(len(s.interactive)+len(s.bulk), 1))
+	o.worstAccount = 1
 	offered, refused := 0, 0
 	for _, a := range s.accounts {
-		due := float64(a.offered) / a.times
-		o.worst = min(o.worst, float64(a.started)/max(due, 1))
-		if a.times == 1 {
+		due := float64(a.offered) / a.loadMultiplier
+		o.worstAccount = min(o.worstAccount, float64(a.started)/max(due, 1))
+		if a.loadMultiplier == 1 {
 			offered += a.offered
 			refused += a.refused
 		}
 	}
-	o.wrongful = float64(refused) / float64(max(offered, 1))
+	o.refusedWithinRate = float64(refused) / float64(max(offered, 1))
 	return o
 }
 
@@ -131,19 +131,19 @@
 	return samples[min(int(p*float64(len(samples))), len(samples)-1)]
 }
 
-// parallelRuns bounds how many runs go at once.
+// parallelRuns bounds the number of concurrent runs.
 const parallelRuns = 4
 
 // ComparePolicies compares routing and admission with their baselines.
 func ComparePolicies(d simDeployment) func(seed uint64) (Table, error) {
 	return func(seed uint64) (Table, error) {
-		all, ways := scenarios(), policies()
-		outcomes := make([]outcome, len(all)*len(ways))
+		all, variants := scenarios(), policies()
+		outcomes := make([]outcome, len(all)*len(variants))
 		var runs errgroup.Group
 		runs.SetLimit(parallelRuns)
 		for i := range outcomes {
 			runs.Go(func() error {
-				s := newPolicySim(d, all[i/len(ways)], ways[i%len(ways)], seed)
+				s := newPolicySim(d, all[i/len(variants)], variants[i%len(variants)], seed)
 				s.run()
 				outcomes[i] = s.outcome()
 				return nil
@@ -157,9 +157,9 @@
 			"prompt tokens computed again", "sent to another region", "worst-served account", "refused within the rate",
 		}}
 		for i, o := range outcomes {
-			t.Rows = append(t.Rows, append([]string{all[i/len(ways)].name, ways[i%len(ways)].name}, o.cells()...))
+			t.Rows = append(t.Rows, append([]string{all[i/len(variants)].name, variants[i%len(variants)].name}, o.cells()...))
 		}
-		t.Notes = goalNotes(outcomes, len(ways))
+		t.Notes = goalNotes(outcomes, len(variants))
 		return t, nil
 	}
 }
@@ -168,24 +168,25 @@
 	ms := func(d time.Duration) string { return fmt.Sprintf("%d ms", d.Milliseconds()) }
 	percent := func(v float64) string { return fmt.Sprintf("%.2f %%", 100*v) }
 	return []string{
-		ms(o.p50), ms(o.p99), ms(o.bulk50), ms(o.bulk99), fmt.Sprintf("%.0f", o.busy.Seconds()),
-		percent(o.again), percent(o.away), percent(o.worst), percent(o.wrongful),
+		ms(o.p50), ms(o.p99), ms(o.bulk50), ms(o.bulk99), fmt.Sprintf("%.0f", o.engineBusy.Seconds()),
+		percent(o.recomputed), percent(o.spilled), percent(o.worstAccount), percent(o.refusedWithinRate),
 	}
 }
 
-// goalNotes compares the product's rows, the first of each scenario, with the goals.
-func goalNotes(outcomes []outcome, ways int) []string {
-	noBulk, saturated, offender := outcomes[0], outcomes[2*ways], outcomes[3*ways]
+// goalNotes compares the rows of basilroute's own policy, which is the first of each
+// scenario, with the goals.
+func goalNotes(outcomes []outcome, variants int) []string {
+	noBulk, saturated, offender := outcomes[0], outcomes[2*variants], outcomes[3*variants]
 	ratio := saturated.p99.Seconds() / noBulk.p99.Seconds()
 	return []string{
-		fmt.Sprintf("Interactive p99 with bulk saturating is %.2f times that without bulk (goal 1.5: %s).", ratio, met(ratio <= 1.5)),
-		fmt.Sprintf("With an offender the worst-served account gets %.2f %% of its due (goal 95 %%: %s).", 100*offender.worst, met(offender.worst >= 0.95)),
+		fmt.Sprintf("Interactive p99 with bulk saturating is %.2f times that without bulk (goal 1.5: %s).", ratio, goalResult(ratio <= 1.5)),
+		fmt.Sprintf("With an offender the worst-served account gets %.2f %% of its due (goal 95 %%: %s).", 100*offender.worstAccount, goalResult(offender.worstAccount >= 0.95)),
 		"Beside bulk a step of the modelled engine computes up to 512 prompt tokens, 64 ms, before any request gets its token, and a prompt that is not cached needs three steps: a part of the gap is there whatever the policy. The rest is the wait for a place where limits shrank.",
 		"Shares and refusals count interactive requests; an offender's due is a tenth of what it sends. Quota is not part of this experiment: what an offender sends all reaches the queues.",
 	}
 }
 
-func met(ok bool) string {
+func goalResult(ok bool) string {
 	if ok {
 		return "met"
 	}
--- a/experiment/policy_engine.go
+++ b/experiment/policy_engine.go
@@ -12,32 +12,33 @@
 
 // Cost and memory of the modelled engines.
 const (
-	engineBatch       = 16
-	engineChunk       = 512 // prompt tokens computed in one step
-	enginePrefillRate = 8000.0
-	engineStep        = 15 * time.Millisecond
-	engineSequence    = 500 * time.Microsecond
-	engineCache       = 512 // blocks
-	eventGap          = 50  // every so many-th cache event is missing
+	engineMaxBatch        = 16
+	prefillChunkTokens    = 512 // max prompt tokens computed per step
+	enginePrefillRate     = 8000.0
+	engineStepBase        = 15 * time.Millisecond
+	engineStepPerSequence = 500 * time.Microsecond
+	engineCacheBlocks     = 512 // blocks
+	droppedEventInterval  = 50  // one in this many cache events is lost
 )
 
-// simEngine batches continuously, computes prompts in chunks and caches prefixes.
+// simEngine models an engine with continuous batching, chunked prefill and a prefix
+// cache.
 type simEngine struct {
-	id        string
-	sim       *policySim
-	up        bool
-	boot      int
-	stepping  bool
-	waiting   []*job
-	running   []*job
-	stepTime  time.Duration
-	busy      time.Duration
-	prefilled int
-	again     int // prompt tokens computed that some engine had computed before
-	order     *list.List
-	blocks    map[tokens.Block]*list.Element
-	events    []prefix.Event
-	seq       int64
+	id         string
+	sim        *policySim
+	up         bool
+	bootCount  int
+	stepping   bool
+	waiting    []*job
+	running    []*job
+	stepTime   time.Duration
+	busy       time.Duration
+	prefilled  int
+	recomputed int // prompt tokens computed although some engine had computed them before
+	lru        *list.List
+	blocks     map[tokens.Block]*list.Element
+	events     []prefix.Event
+	seq        int64
 }
 
 func newSimEngine(sim *policySim, id string) *simEngine {
@@ -47,27 +48,28 @@
 }
 
 func (e *simEngine) clearCache() {
-	e.order, e.blocks = list.New(), make(map[tokens.Block]*list.Element)
+	e.lru, e.blocks = list.New(), make(map[tokens.Block]*list.Element)
 	e.events, e.seq = nil, 0
-	e.boot++
+	e.bootCount++
 }
 
-// use returns how many prompt tokens are cached, and stores the prompt's blocks.
-func (e *simEngine) use(blocks []tokens.Block) int {
+// cachePrompt returns how many prompt tokens are cached, and adds the prompt's blocks to
+// the cache.
+func (e *simEngine) cachePrompt(blocks []tokens.Block) int {
 	cached := 0
 	for cached < len(blocks) && e.blocks[blocks[cached]] != nil {
 		cached++
 	}
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if element := e.blocks[blocks[i]]; element != nil {
-			e.order.MoveToFront(element)
+			e.lru.MoveToFront(element)
 			continue
 		}
-		e.blocks[blocks[i]] = e.order.PushFront(blocks[i])
+		e.blocks[blocks[i]] = e.lru.PushFront(blocks[i])
 		e.record(blocks[i], false)
 	}
-	for e.order.Len() > engineCache {
-		block := e.order.Remove(e.order.Back()).(tokens.Block)
+	for e.lru.Len() > engineCacheBlocks {
+		block := e.lru.Remove(e.lru.Back()).(tokens.Block)
 		delete(e.blocks, block)
 		e.record(block, true)
 	}
@@ -76,14 +78,14 @@
 
 func (e *simEngine) record(block tokens.Block, evicted bool) {
 	e.seq++
-	if e.seq%eventGap != 0 {
+	if e.seq%droppedEventInterval != 0 {
 		e.events = append(e.events, prefix.Event{Seq: e.seq, Evicted: evicted, Block: block})
 	}
 }
 
 func (e *simEngine) enqueue(j *job) {
 	if !e.up {
-		e.sim.lost(j)
+		e.sim.handleEngineLost(j)
 		return
 	}
 	e.waiting = append(e.waiting, j)
@@ -92,8 +94,9 @@
 	}
 }
 
-// next takes the first waiting job of the most urgent class.
-func (e *simEngine) next() *job {
+// dequeue removes and returns the first waiting interactive job, or the first waiting
+// job if none is interactive.
+func (e *simEngine) dequeue() *job {
 	at := 0
 	for i, j := range e.waiting {
 		if j.class == service.ClassInteractive {
@@ -107,25 +110,25 @@
 }
 
 func (e *simEngine) step() {
-	for len(e.waiting) > 0 && len(e.running) < engineBatch {
-		j := e.next()
-		j.prefill = j.prompt - e.use(j.blocks)
-		e.sim.countAgain(e, j)
+	for len(e.waiting) > 0 && len(e.running) < engineMaxBatch {
+		j := e.dequeue()
+		j.prefillTokens = j.promptTokens - e.cachePrompt(j.blocks)
+		e.sim.countRecomputed(e, j)
 		e.running = append(e.running, j)
 	}
 	e.stepping = len(e.running) > 0
 	if !e.stepping {
 		return
 	}
-	computed := e.compute(service.ClassInteractive, engineChunk)
-	computed += e.compute(service.ClassBulk, engineChunk-computed)
+	computed := e.compute(service.ClassInteractive, prefillChunkTokens)
+	computed += e.compute(service.ClassBulk, prefillChunkTokens-computed)
 	e.prefilled += computed
-	e.stepTime = engineStep + time.Duration(len(e.running))*engineSequence +
+	e.stepTime = engineStepBase + time.Duration(len(e.running))*engineStepPerSequence +
 		time.Duration(float64(computed)/enginePrefillRate*float64(time.Second))
 	e.busy += e.stepTime
-	boot := e.boot
+	boot := e.bootCount
 	e.sim.after(e.stepTime, func() {
-		if e.boot == boot {
+		if e.bootCount == boot {
 			e.endStep()
 		}
 	})
@@ -137,8 +140,8 @@
 		if j.class != class {
 			continue
 		}
-		n := min(j.prefill, budget-computed)
-		j.prefill -= n
+		n := min(j.prefillTokens, budget-computed)
+		j.prefillTokens -= n
 		computed += n
 	}
 	return computed
@@ -147,7 +150,7 @@
 func (e *simEngine) endStep() {
 	keep := e.running[:0:0]
 	for _, j := range e.running {
-		if j.prefill > 0 {
+		if j.prefillTokens > 0 {
 			keep = append(keep, j)
 			continue
 		}
@@ -155,7 +158,7 @@
 		if j.generated == 1 {
 			e.sim.firstToken(j)
 		}
-		if j.generated < j.output {
+		if j.generated < j.outputTokens {
 			keep = append(keep, j)
 			continue
 		}
@@ -165,27 +168,27 @@
 	e.step()
 }
 
-// lose takes the engine away with everything in it.
-func (e *simEngine) lose() {
+// crash stops the engine; its jobs and its cache are lost.
+func (e *simEngine) crash() {
 	e.up, e.stepping = false, false
 	jobs := append(e.waiting, e.running...)
 	e.waiting, e.running = nil, nil
 	e.clearCache()
 	for _, j := range jobs {
-		e.sim.lost(j)
+		e.sim.handleEngineLost(j)
 	}
 }
 
 func (e *simEngine) load(at time.Time) servers.Load {
 	l := servers.Load{
-		At: at, BootID: string(rune('a' + e.boot)), Running: len(e.running), Waiting: len(e.waiting),
+		At: at, BootID: string(rune('a' + e.bootCount)), Running: len(e.running), Waiting: len(e.waiting),
 		PrefillRate: enginePrefillRate,
 	}
 	for _, j := range e.waiting {
-		l.WaitingTokens += j.prompt
+		l.WaitingTokens += j.promptTokens
 	}
 	for _, j := range e.running {
-		l.WaitingTokens += j.prefill
+		l.WaitingTokens += j.prefillTokens
 	}
 	if e.stepTime > 0 && len(e.running) > 0 {
 		l.DecodeRate = float64(len(e.running)) / e.stepTime.Seconds()
--- a/experiment/policy_gateway.go
+++ b/experiment/policy_gateway.go
@@ -12,20 +12,20 @@
 	"github.com/basilroute/basilroute/state/servers"
 )
 
-// simGateway is one instance: the product's decisions over the modelled engines
-// of its region.
+// simGateway models one entry instance: it runs the product's decisions on the modelled
+// engines of its region.
 type simGateway struct {
-	sim      *policySim
-	id       string
-	region   *simRegion
-	line     line
-	table    *servers.Table
-	limiters map[*servers.Entry]*admission.Limiter
-	index    *prefix.Index
-	router   *routing.Router
-	turn     int // of round robin
-	reported routing.Domain
-	report   uint64
+	sim            *policySim
+	id             string
+	region         *simRegion
+	queue          jobQueue
+	table          *servers.Table
+	limiters       map[*servers.Entry]*admission.Limiter
+	index          *prefix.Index
+	router         *routing.Router
+	roundRobinNext int // of round robin
+	lastReport     routing.Domain
+	reportSeq      uint64
 }
 
 func newSimGateway(sim *policySim, region *simRegion, n int) *simGateway {
@@ -34,9 +34,9 @@
 		limiters: make(map[*servers.Entry]*admission.Limiter), index: prefix.New(region.name),
 		router: routing.NewRouter(region.name, region.name),
 	}
-	g.line = newQueueLine(sim, sim.service)
+	g.queue = newAdmissionQueue(sim, sim.service)
 	if sim.policy.fifo {
-		g.line = &fifoLine{sim: sim, service: sim.service}
+		g.queue = &fifoQueue{sim: sim, service: sim.service}
 	}
 	var list []servers.Identity
 	for _, e := range region.engines {
@@ -46,7 +46,7 @@
 	return g
 }
 
-// poll takes in the engines' reports, as the product does each second.
+// poll applies the engines' load reports, as an instance does every second.
 func (g *simGateway) poll() {
 	now := g.sim.time()
 	for _, e := range g.region.engines {
@@ -70,7 +70,7 @@
 	}
 	routing.EjectSlow(g.table, g.sim.service.Name, now)
 	g.refresh()
-	g.line.shed()
+	g.queue.shed()
 	g.publish()
 }
 
@@ -89,14 +89,14 @@
 			forBulk += e.BulkLimit()
 		}
 	}
-	g.line.configure(capacity, forBulk)
+	g.queue.configure(capacity, forBulk)
 }
 
-// publish is what the others know of this gateway until the next poll.
+// publish updates the report that other gateways see until the next poll.
 func (g *simGateway) publish() {
-	g.report++
-	g.reported = g.domain()
-	g.reported.ReportSeq, g.reported.PeerAddress = g.report, g.id
+	g.reportSeq++
+	g.lastReport = g.domain()
+	g.lastReport.ReportSeq, g.lastReport.PeerAddress = g.reportSeq, g.id
 }
 
 func (g *simGateway) domain() routing.Domain {
@@ -109,7 +109,7 @@
 			d.Servers++
 		}
 	}
-	stats := g.line.stats()
+	stats := g.queue.stats()
 	d.Interactive, d.Bulk = simQueue(stats.Interactive), simQueue(stats.Bulk)
 	return d
 }
@@ -118,24 +118,24 @@
 	return routing.Queue{ExpectedWait: s.ExpectedWait, AcceptsRemote: s.AcceptsRemote, FreeSlots: s.FreeSlots}
 }
 
-// place is called when the job has its slot here.
-func (g *simGateway) place(j *job) {
+// dispatch sends a job that was granted a slot to an engine.
+func (g *simGateway) dispatch(j *job) {
 	list := g.table.Entries(g.sim.service.Name)
-	r := &routing.Request{Service: g.sim.service, Bulk: j.bulk(), PromptTokens: j.prompt, CachedBlocks: &prefix.Matches{}}
+	r := &routing.Request{Service: g.sim.service, Bulk: j.bulk(), PromptTokens: j.promptTokens, CachedBlocks: &prefix.Matches{}}
 	g.index.Match(j.blocks, "", r.CachedBlocks)
 	i := g.choose(r, list)
 	if i < 0 {
-		g.line.release(j)
-		g.sim.refused(j)
+		g.queue.release(j)
+		g.sim.handleRefusal(j)
 		return
 	}
 	j.entry = list[i]
 	now := g.sim.time()
-	j.alone = max(routing.UnloadedFirstToken(r, j.entry), minSimExpected)
-	j.expected = max(routing.ExpectedFirstToken(r, j.entry, now), minSimExpected)
-	j.uncached = r.UncachedTokens(j.entry)
+	j.unloadedFirstToken = max(routing.UnloadedFirstToken(r, j.entry), minSimExpected)
+	j.expectedFirstToken = max(routing.ExpectedFirstToken(r, j.entry, now), minSimExpected)
+	j.uncachedTokens = r.UncachedTokens(j.entry)
 	j.sent = now
-	j.entry.Begin(j.uncached, j.bulk())
+	j.entry.Begin(j.uncachedTokens, j.bulk())
 	g.index.RecordDispatch(j.entry.Slot(), "", j.blocks)
 	j.engine = g.region.engines[i]
 	j.engine.enqueue(j)
@@ -161,8 +161,8 @@
 	case routeRandom:
 		return usable[g.sim.rng.IntN(len(usable))]
 	case routeRoundRobin:
-		g.turn++
-		return usable[g.turn%len(usable)]
+		g.roundRobinNext++
+		return usable[g.roundRobinNext%len(usable)]
 	}
 	best := usable[0]
 	for _, i := range usable {
@@ -173,32 +173,33 @@
 	return best
 }
 
-// leave takes the job off its engine and gives its slot back.
-func (g *simGateway) leave(j *job, answered bool) {
+// releaseJob records the end of the job on its engine and releases its slot.
+func (g *simGateway) releaseJob(j *job, answered bool) {
 	now := g.sim.time()
 	if j.generated == 0 {
-		j.entry.EndPrefill(j.uncached)
+		j.entry.EndPrefill(j.uncachedTokens)
 	}
 	j.entry.End(j.bulk())
 	if answered {
-		routing.RecordResponse(j.entry, j.latency, j.expected, now.Sub(j.sent))
+		routing.RecordResponse(j.entry, j.firstTokenLatency, j.expectedFirstToken, now.Sub(j.sent))
 	} else {
-		g.sample(j, admission.Sample{Failed: true})
+		g.addSample(j, admission.Sample{Failed: true})
 		routing.RecordFailure(g.table, j.entry, now)
 	}
 	g.refresh()
-	g.line.release(j)
+	g.queue.release(j)
 }
 
-// began takes in the first token, as dispatch does.
-func (g *simGateway) began(j *job) {
-	g.sample(j, admission.Sample{
-		Bulk: j.bulk(), Latency: j.latency, Expected: j.alone, InFlight: j.entry.InFlight(), BulkInFlight: j.entry.Bulk(),
+// recordFirstToken passes the latency of the first token to the limiter, as package
+// dispatch does.
+func (g *simGateway) recordFirstToken(j *job) {
+	g.addSample(j, admission.Sample{
+		Bulk: j.bulk(), Latency: j.firstTokenLatency, Expected: j.unloadedFirstToken, InFlight: j.entry.InFlight(), BulkInFlight: j.entry.Bulk(),
 	})
 	g.refresh()
 }
 
-func (g *simGateway) sample(j *job, a admission.Sample) {
+func (g *simGateway) addSample(j *job, a admission.Sample) {
 	l := g.limiter(j.entry)
 	ceiling := int(g.sim.service.Limits.Concurrency)
 	l.AddSample(a, ceiling, g.sim.time())
--- a/experiment/policy_retry.go
+++ b/experiment/policy_retry.go
@@ -22,12 +22,12 @@
 }
 
 const (
-	retryServers  = 20
-	retryRequests = 20000
-	retryEvery    = 10 * time.Millisecond
+	retryServers         = 20
+	retryRequests        = 20000
+	retryRequestInterval = 10 * time.Millisecond
 )
 
-// retryCase is one way to retry, and one way to fail.
+// retryCase is a combination of a retry policy and a failure.
 type retryCase struct {
 	failure string
 	broken  func(server int, rng *rand.Rand) bool
@@ -48,7 +48,7 @@
 	}
 }
 
-// retries counts what retries add to the load of the servers.
+// retries measures how much retries add to the load of the servers.
 func retries(seed uint64) (Table, error) {
 	t := Table{Columns: []string{"what fails", "policy", "sent per request", "answered"}}
 	for _, c := range retryCases() {
@@ -58,7 +58,7 @@
 			c.failure, c.policy, fmt.Sprintf("%.3f", amplification), fmt.Sprintf("%.2f %%", 100*float64(answered)/retryRequests),
 		})
 		if c.policy == "basilroute" {
-			t.Notes = append(t.Notes, fmt.Sprintf("%s: amplification %.3f (goal 1.1: %s).", c.failure, amplification, met(amplification <= 1.1)))
+			t.Notes = append(t.Notes, fmt.Sprintf("%s: amplification %.3f (goal 1.1: %s).", c.failure, amplification, goalResult(amplification <= 1.1)))
 		}
 	}
 	return t, nil
@@ -69,7 +69,7 @@
 	table := retryTable()
 	budget := retry.NewBudget()
 	for n := range retryRequests {
-		now := time.Unix(1_000_000, 0).Add(time.Duration(n) * retryEvery)
+		now := time.Unix(1_000_000, 0).Add(time.Duration(n) * retryRequestInterval)
 		budget.RecordRequest(svc)
 		exclude := make(map[string]bool)
 		for attempt := 1; ; attempt++ {
--- a/experiment/policy_sim.go
+++ b/experiment/policy_sim.go
@@ -15,42 +15,42 @@
 )
 
 const (
-	linkDelay    = 80 * time.Millisecond // one way, between regions
-	dayLength    = 300 * time.Second     // a day's peaks, compressed
-	warmUp       = 20 * time.Second      // not measured
-	peakSwing    = 0.6                   // of the mean load
-	gatewaysEach = 2                     // in a region
-	maxAttempts  = 3
-	dossiers     = 6 // shared prompt prefixes of an account
-	prefixBlocks = 16
+	linkDelay          = 80 * time.Millisecond // one way, between regions
+	dayLength          = 300 * time.Second     // a day's load curve, compressed
+	warmUp             = 20 * time.Second      // not measured
+	peakAmplitude      = 0.6                   // fraction of the mean load
+	gatewaysPerRegion  = 2
+	maxAttempts        = 3
+	prefixesPerAccount = 6 // shared prompt prefixes of an account
+	prefixBlocks       = 16
 )
 
-// job is one request in the model.
+// job is one request of the simulation.
 type job struct {
-	account            *simAccount
-	class              service.Class
-	prompt, output     int
-	blocks             []tokens.Block
-	arrived            time.Duration
-	origin, at         *simGateway
-	attempt            int
-	exclude            map[string]bool
-	engine             *simEngine
-	entry              *servers.Entry
-	prefill, generated int
-	uncached           int
-	sent               time.Time
-	alone, expected    time.Duration
-	latency            time.Duration
-	answered           bool
+	account                                *simAccount
+	class                                  service.Class
+	promptTokens, outputTokens             int
+	blocks                                 []tokens.Block
+	arrived                                time.Duration
+	origin, servingGateway                 *simGateway
+	attempt                                int
+	exclude                                map[string]bool
+	engine                                 *simEngine
+	entry                                  *servers.Entry
+	prefillTokens, generated               int
+	uncachedTokens                         int
+	sent                                   time.Time
+	unloadedFirstToken, expectedFirstToken time.Duration
+	firstTokenLatency                      time.Duration
+	firstTokenSent                         bool
 }
 
 type simAccount struct {
-	name   string
-	share  float64 // of the load
-	rate   float64 // weight in the queue
-	number int
-	times  float64 // what it sends, against its rate
+	name           string
+	loadShare      float64 // fraction of the total load
+	weight         float64 // in the admission queue
+	number         int
+	loadMultiplier float64 // load as a multiple of its usual load
 
 	offered, started int // interactive requests
 	refused          int
@@ -62,7 +62,8 @@
 	gateways []*simGateway
 }
 
-// simEvent is something due at a time; events of one time go in order.
+// simEvent is an event of the simulation. Events with the same time run in the order in
+// which they were scheduled.
 type simEvent struct {
 	at  time.Duration
 	seq int
@@ -83,7 +84,7 @@
 	return last
 }
 
-// policySim runs the product's decisions over modelled engines in virtual time.
+// policySim runs the product's decisions on modelled engines in virtual time.
 type policySim struct {
 	deployment simDeployment
 	scenario   simScenario
@@ -95,28 +96,28 @@
 	seq        int
 	regions    []*simRegion
 	accounts   []*simAccount
-	seen       map[tokens.Block]bool
+	seenBlocks map[tokens.Block]bool
 	unique     uint64
 
-	interactive, bulk []time.Duration // times to the first token
-	submitted, away   int
+	interactive, bulk  []time.Duration // times to the first token
+	submitted, spilled int
 }
 
 func newPolicySim(d simDeployment, sc simScenario, p simPolicy, seed uint64) *policySim {
 	s := &policySim{
 		deployment: d, scenario: sc, policy: p, service: d.service(),
-		rng: rand.New(rand.NewPCG(seed, 1)), seen: make(map[tokens.Block]bool),
+		rng: rand.New(rand.NewPCG(seed, 1)), seenBlocks: make(map[tokens.Block]bool),
 	}
 	for i, share := range []float64{0.4, 0.3, 0.15, 0.1, 0.05} {
-		s.accounts = append(s.accounts, &simAccount{name: fmt.Sprint("account-", i), share: share, rate: share, number: i, times: 1})
+		s.accounts = append(s.accounts, &simAccount{name: fmt.Sprint("account-", i), loadShare: share, weight: share, number: i, loadMultiplier: 1})
 	}
-	s.accounts[offenderAccount].times = sc.offender
+	s.accounts[offenderAccount].loadMultiplier = sc.offender
 	for i, n := range d.engines {
 		r := &simRegion{name: d.regions[i]}
 		for k := range n {
 			r.engines = append(r.engines, newSimEngine(s, fmt.Sprintf("%s-engine-%d", r.name, k)))
 		}
-		for k := range gatewaysEach {
+		for k := range gatewaysPerRegion {
 			r.gateways = append(r.gateways, newSimGateway(s, r, k))
 		}
 		s.regions = append(s.regions, r)
@@ -138,14 +139,14 @@
 			s.after(time.Duration(k)*100*time.Millisecond, func() { s.pollLoop(g) })
 		}
 		for _, a := range s.accounts {
-			s.arrivals(i, a, service.ClassInteractive, s.deployment.interactive*a.times)
-			s.arrivals(i, a, service.ClassBulk, s.deployment.bulk*s.scenario.bulk*a.times)
+			s.arrivals(i, a, service.ClassInteractive, s.deployment.interactive*a.loadMultiplier)
+			s.arrivals(i, a, service.ClassBulk, s.deployment.bulk*s.scenario.bulk*a.loadMultiplier)
 		}
 	}
 	if s.scenario.lostRegion {
 		s.after(dayLength/3, func() {
 			for _, e := range s.regions[0].engines {
-				e.lose()
+				e.crash()
 			}
 		})
 		s.after(2*dayLength/3, func() {
@@ -166,17 +167,17 @@
 	s.after(time.Second, func() { s.pollLoop(g) })
 }
 
-// arrivals is a Poisson process whose rate follows the region's day.
+// arrivals schedules a Poisson process whose rate follows the region's daily load curve.
 func (s *policySim) arrivals(region int, a *simAccount, class service.Class, perEngine float64) {
-	mean := perEngine * float64(len(s.regions[region].engines)) * a.share
+	mean := perEngine * float64(len(s.regions[region].engines)) * a.loadShare
 	if mean <= 0 {
 		return
 	}
-	peak := mean * (1 + peakSwing)
+	peak := mean * (1 + peakAmplitude)
 	var next func()
 	next = func() {
 		phase := 2 * math.Pi * (float64(s.now)/float64(dayLength) + float64(region)/float64(len(s.regions)))
-		if s.rng.Float64()*(1+peakSwing) < 1+peakSwing*math.Sin(phase) {
+		if s.rng.Float64()*(1+peakAmplitude) < 1+peakAmplitude*math.Sin(phase) {
 			s.arrive(region, a, class)
 		}
 		s.after(time.Duration(s.rng.ExpFloat64()/peak*float64(time.Second)), next)
@@ -185,20 +186,20 @@
 }
 
 func (s *policySim) arrive(region int, a *simAccount, class service.Class) {
-	j := &job{account: a, class: class, arrived: s.now, output: 40, exclude: make(map[string]bool)}
-	own := 2 // blocks of its own
+	j := &job{account: a, class: class, arrived: s.now, outputTokens: 40, exclude: make(map[string]bool)}
+	uniqueBlocks := 2 // blocks not shared with other prompts
 	if class == service.ClassBulk {
-		own, j.output = 48, 200
+		uniqueBlocks, j.outputTokens = 48, 200
 	}
-	dossier := uint64(a.number*dossiers + s.rng.IntN(dossiers))
+	dossier := uint64(a.number*prefixesPerAccount + s.rng.IntN(prefixesPerAccount))
 	for i := range prefixBlocks {
 		j.blocks = append(j.blocks, tokens.Block(dossier<<32|uint64(i)|1<<60))
 	}
-	for range own {
+	for range uniqueBlocks {
 		s.unique++
 		j.blocks = append(j.blocks, tokens.Block(s.unique))
 	}
-	j.prompt = len(j.blocks) * tokens.BlockTokens
+	j.promptTokens = len(j.blocks) * tokens.BlockTokens
 	gateways := s.regions[region].gateways
 	j.origin = gateways[a.number%len(gateways)]
 	if s.now >= warmUp {
@@ -210,38 +211,38 @@
 	s.submit(j)
 }
 
-// submit chooses the failure domain, as the instance that the caller talks to does.
+// submit chooses the failure domain, as the instance that received the request does.
 func (s *policySim) submit(j *job) {
 	j.attempt++
-	own := j.origin.domain()
+	local := j.origin.domain()
 	var others []routing.Domain
 	for _, r := range s.regions {
 		for _, g := range r.gateways {
 			if r != j.origin.region {
-				others = append(others, g.reported)
+				others = append(others, g.lastReport)
 			}
 		}
 	}
-	chosen := s.chooseDomain(j, &own, others)
+	chosen := s.chooseDomain(j, &local, others)
 	if chosen == nil {
-		s.giveUp(j)
+		s.reject(j)
 		return
 	}
 	target, delay := j.origin, time.Duration(0)
-	if chosen != &own {
+	if chosen != &local {
 		target, delay = s.gateway(chosen.PeerID), linkDelay
 	}
-	j.at, j.generated = target, 0
-	s.after(delay, func() { target.line.submit(j) })
+	j.servingGateway, j.generated = target, 0
+	s.after(delay, func() { target.queue.submit(j) })
 }
 
-func (s *policySim) chooseDomain(j *job, own *routing.Domain, others []routing.Domain) *routing.Domain {
-	r := &routing.Request{Service: s.service, Account: uint64(j.account.number), Bulk: j.bulk(), PromptTokens: j.prompt, Exclude: j.exclude}
+func (s *policySim) chooseDomain(j *job, local *routing.Domain, others []routing.Domain) *routing.Domain {
+	r := &routing.Request{Service: s.service, Account: uint64(j.account.number), Bulk: j.bulk(), PromptTokens: j.promptTokens, Exclude: j.exclude}
 	if s.policy.route == routeScore {
-		return j.origin.router.ChooseDomain(r, own, others)
+		return j.origin.router.ChooseDomain(r, local, others)
 	}
-	if own.Servers > 0 {
-		return own
+	if local.Servers > 0 {
+		return local
 	}
 	others = slices.DeleteFunc(others, func(d routing.Domain) bool { return d.Servers == 0 })
 	if len(others) == 0 {
@@ -263,58 +264,58 @@
 
 func (j *job) bulk() bool { return j.class == service.ClassBulk }
 
-// link is the delay between the job's origin and where it runs.
+// link returns the one-way delay between the job's origin and the gateway that runs it.
 func (j *job) link() time.Duration {
-	if j.at.region == j.origin.region {
+	if j.servingGateway.region == j.origin.region {
 		return 0
 	}
 	return linkDelay
 }
 
-func (s *policySim) settled(j *job, granted bool) {
+func (s *policySim) handleSettled(j *job, granted bool) {
 	if granted {
-		j.at.place(j)
+		j.servingGateway.dispatch(j)
 		return
 	}
-	s.refused(j)
+	s.handleRefusal(j)
 }
 
-// refused lets the job try another domain once what refused it is excluded.
-func (s *policySim) refused(j *job) {
-	j.exclude[j.at.region.name] = true
+// handleRefusal excludes the domain that refused the job and retries it on another one.
+func (s *policySim) handleRefusal(j *job) {
+	j.exclude[j.servingGateway.region.name] = true
 	if s.policy.route != routeScore || j.attempt >= maxAttempts {
-		s.giveUp(j)
+		s.reject(j)
 		return
 	}
 	s.after(j.link(), func() { s.submit(j) })
 }
 
-func (s *policySim) giveUp(j *job) {
+func (s *policySim) reject(j *job) {
 	if j.arrived >= warmUp && j.class == service.ClassInteractive {
 		j.account.refused++
 	}
 }
 
-// lost is called when the engine went away with the job.
-func (s *policySim) lost(j *job) {
-	j.at.leave(j, false)
-	if j.answered || j.attempt >= maxAttempts { // the caller has part of the answer
-		s.giveUp(j)
+// handleEngineLost handles a job whose engine crashed.
+func (s *policySim) handleEngineLost(j *job) {
+	j.servingGateway.releaseJob(j, false)
+	if j.firstTokenSent || j.attempt >= maxAttempts { // the caller has received part of the response
+		s.reject(j)
 		return
 	}
 	s.after(j.link(), func() { s.submit(j) })
 }
 
 func (s *policySim) firstToken(j *job) {
-	j.entry.EndPrefill(j.uncached)
-	j.latency = s.time().Sub(j.sent)
-	j.answered = true
-	j.at.began(j)
+	j.entry.EndPrefill(j.uncachedTokens)
+	j.firstTokenLatency = s.time().Sub(j.sent)
+	j.firstTokenSent = true
+	j.servingGateway.recordFirstToken(j)
 	if j.arrived < warmUp {
 		return
 	}
-	if j.at.region != j.origin.region {
-		s.away++
+	if j.servingGateway.region != j.origin.region {
+		s.spilled++
 	}
 	first := s.now - j.arrived + j.link()
 	if j.class == service.ClassBulk {
@@ -322,21 +323,21 @@
 		return
 	}
 	j.account.started++
-	if j.account.times > 1 {
+	if j.account.loadMultiplier > 1 {
 		return
 	}
 	s.interactive = append(s.interactive, first)
 }
 
-func (s *policySim) finished(j *job) { j.at.leave(j, true) }
+func (s *policySim) finished(j *job) { j.servingGateway.releaseJob(j, true) }
 
-// countAgain counts prompt tokens that have to be computed although an engine
+// countRecomputed counts the prompt tokens that have to be computed although some engine
 // has computed them before.
-func (s *policySim) countAgain(e *simEngine, j *job) {
-	for _, block := range j.blocks[(j.prompt-j.prefill)/tokens.BlockTokens:] {
-		if s.seen[block] {
-			e.again += tokens.BlockTokens
+func (s *policySim) countRecomputed(e *simEngine, j *job) {
+	for _, block := range j.blocks[(j.promptTokens-j.prefillTokens)/tokens.BlockTokens:] {
+		if s.seenBlocks[block] {
+			e.recomputed += tokens.BlockTokens
 		}
-		s.seen[block] = true
+		s.seenBlocks[block] = true
 	}
 }
--- a/experiment/quota.go
+++ b/experiment/quota.go
@@ -12,31 +12,31 @@
 // The fleet of the quota experiment: three regions of two failure domains with
 // two instances each.
 const (
-	quotaRegions    = 3
-	quotaDomains    = 6
-	quotaInstances  = 12
-	quotaSlots      = 3 // per domain
-	quotaTick       = 10 * time.Millisecond
-	quotaWarmUp     = 15 * time.Second
-	quotaRun        = 75 * time.Second
-	quotaCutFrom    = 30 * time.Second
-	quotaCutTo      = 50 * time.Second
-	quotaRate       = 2000.0
-	quotaBurst      = 10000.0
-	quotaMaxWait    = 2 * time.Second
-	quotaLength     = 2 * time.Second // of a request, after which it is settled
-	quotaUsed       = 0.6             // of the worst case
-	quotaRegionLink = 80 * time.Millisecond
-	quotaDomainLink = time.Millisecond
-	offenderLoad    = 10.0
-	usualLoad       = 0.7
+	quotaRegions         = 3
+	quotaDomains         = 6
+	quotaInstances       = 12
+	quotaSlots           = 3 // per domain
+	quotaTick            = 10 * time.Millisecond
+	quotaWarmUp          = 15 * time.Second
+	quotaRunLength       = 75 * time.Second
+	quotaCutFrom         = 30 * time.Second
+	quotaCutTo           = 50 * time.Second
+	quotaRate            = 2000.0
+	quotaBurst           = 10000.0
+	quotaMaxWait         = 2 * time.Second
+	quotaRequestDuration = 2 * time.Second // duration of a request, after which its charge is settled
+	quotaUsedFraction    = 0.6             // actual use as a fraction of the charged worst case
+	quotaRegionLink      = 80 * time.Millisecond
+	quotaDomainLink      = time.Millisecond
+	offenderLoad         = 10.0
+	usualLoad            = 0.7
 )
 
-// quotaScenario is a demand with a fault.
+// quotaScenario is the load and the fault of a run.
 type quotaScenario struct {
 	name     string
 	offender bool // the last account asks for ten times its rate
-	cut      bool // region 2 is cut off for twenty seconds
+	cut      bool // region 2 is cut off for 20 s
 	weighted bool // the documents' shares follow the demand
 }
 
@@ -49,22 +49,23 @@
 
 // quotaRequest is one request of an account.
 type quotaRequest struct {
-	account  int
-	instance int
-	cost     float64
-	used     float64
-	at       time.Duration
-	due      bool // one counter for the whole world would have admitted it
+	account         int
+	instance        int
+	cost            float64
+	usedTokens      float64
+	at              time.Duration
+	admittedByIdeal bool // a single token bucket for the whole fleet would have admitted it
 }
 
-// quotaPolicy decides requests. It calls world.admit or world.refuse for each.
+// quotaPolicy admits or refuses requests. It calls quotaSim.admit or quotaSim.refuse for
+// each request.
 type quotaPolicy interface {
-	request(w *quotaWorld, r *quotaRequest)
-	step(w *quotaWorld)
+	request(w *quotaSim, r *quotaRequest)
+	step(w *quotaSim)
 }
 
-// quotaWorld runs a policy in virtual time.
-type quotaWorld struct {
+// quotaSim runs a policy in virtual time.
+type quotaSim struct {
 	scenario quotaScenario
 	rng      *rand.Rand
 	now      time.Duration
@@ -74,22 +75,22 @@
 	policy   quotaPolicy
 	messages int
 
-	ideal     []meter // what one counter for the whole world would do
-	usage     []fluid
-	due       []float64 // tokens that the ideal admitted, by account
-	served    []float64 // tokens admitted of these
-	requests  int       // within the rate
-	wrongful  int
-	overshoot float64
+	idealBuckets     []tokenBucket // a single token bucket for the whole fleet, by account
+	usageBuckets     []leakyBucket
+	idealTokens      []float64 // tokens that the ideal buckets admitted, by account
+	servedTokens     []float64 // tokens that the policy admitted, by account
+	requests         int       // admitted by the ideal buckets, without the offender's
+	wrongfulRefusals int
+	overshoot        float64
 }
 
-// meter is a token bucket.
-type meter struct {
+// tokenBucket is a token bucket without limits of its own: take gets rate and burst.
+type tokenBucket struct {
 	tokens float64
 	at     time.Duration
 }
 
-func (m *meter) take(tokens, rate, burst float64, now time.Duration) bool {
+func (m *tokenBucket) take(tokens, rate, burst float64, now time.Duration) bool {
 	m.tokens = min(burst, m.tokens+rate*(now-m.at).Seconds())
 	m.at = now
 	if m.tokens < tokens {
@@ -99,13 +100,14 @@
 	return true
 }
 
-// fluid measures the worst window: a queue that drains at the rate.
-type fluid struct {
+// leakyBucket drains at a rate. Its level above the burst is the number of tokens by which
+// the worst window exceeds rate and burst.
+type leakyBucket struct {
 	queue float64
 	at    time.Duration
 }
 
-func (f *fluid) add(tokens, rate float64, now time.Duration) float64 {
+func (f *leakyBucket) add(tokens, rate float64, now time.Duration) float64 {
 	f.queue = max(0, f.queue-rate*(now-f.at).Seconds()) + tokens
 	f.at = now
 	return f.queue
@@ -113,11 +115,11 @@
 
 const quotaAccounts = 5
 
-func newQuotaWorld(seed uint64, scenario quotaScenario, policy quotaPolicy) *quotaWorld {
-	w := &quotaWorld{
+func newQuotaSim(seed uint64, scenario quotaScenario, policy quotaPolicy) *quotaSim {
+	w := &quotaSim{
 		scenario: scenario, rng: rand.New(rand.NewPCG(seed, 7)), policy: policy, events: make(map[time.Duration][]func()),
-		ideal: make([]meter, quotaAccounts), usage: make([]fluid, quotaAccounts),
-		due: make([]float64, quotaAccounts), served: make([]float64, quotaAccounts),
+		idealBuckets: make([]tokenBucket, quotaAccounts), usageBuckets: make([]leakyBucket, quotaAccounts),
+		idealTokens: make([]float64, quotaAccounts), servedTokens: make([]float64, quotaAccounts),
 		fleet: &service.Fleet{Regions: make(map[string]service.Region), Slots: service.Slots{PerDomain: quotaSlots}},
 	}
 	for region := range quotaRegions {
@@ -137,7 +139,7 @@
 			}
 		}
 		w.docs = append(w.docs, doc)
-		w.ideal[n].tokens = quotaBurst
+		w.idealBuckets[n].tokens = quotaBurst
 	}
 	return w
 }
@@ -148,20 +150,20 @@
 
 func quotaDomainOf(instance int) int { return instance / (quotaInstances / quotaDomains) }
 
-func (w *quotaWorld) after(d time.Duration, do func()) {
+func (w *quotaSim) after(d time.Duration, do func()) {
 	at := w.now + max(quotaTick, d.Round(quotaTick))
 	w.events[at] = append(w.events[at], do)
 }
 
-// reachable tells whether two instances are on the same side of the cut.
-func (w *quotaWorld) reachable(a, b int) bool {
+// reachable reports whether two instances are on the same side of the partition.
+func (w *quotaSim) reachable(a, b int) bool {
 	const cutRegion = 2
 	cut := w.scenario.cut && w.now >= quotaCutFrom && w.now < quotaCutTo
 	return !cut || (quotaRegionOf(a) == cutRegion) == (quotaRegionOf(b) == cutRegion)
 }
 
-// send delivers a message, unless the link is cut.
-func (w *quotaWorld) send(from, to int, do func()) {
+// send delivers a message after the link's delay, unless the link is cut.
+func (w *quotaSim) send(from, to int, do func()) {
 	w.messages++
 	delay := quotaDomainLink
 	if quotaRegionOf(from) != quotaRegionOf(to) {
@@ -172,8 +174,8 @@
 	}
 }
 
-func (w *quotaWorld) run() {
-	for ; w.now < quotaRun; w.now += quotaTick {
+func (w *quotaSim) run() {
+	for ; w.now < quotaRunLength; w.now += quotaTick {
 		for _, do := range w.events[w.now] {
 			do()
 		}
@@ -185,15 +187,15 @@
 	}
 }
 
-// offer draws the requests of an account in this tick. Nine in ten come to the
+// offer generates the requests of an account in this tick. 90 % of them arrive at the
 // instances of one region.
-func (w *quotaWorld) offer(account int) {
+func (w *quotaSim) offer(account int) {
 	const meanCost, homeShare = 100.0, 0.9
 	load := usualLoad
-	if w.offends(account) {
+	if w.isOffender(account) {
 		load = offenderLoad
 	}
-	mean := load * quotaRate * quotaTick.Seconds() / (meanCost * quotaUsed)
+	mean := load * quotaRate * quotaTick.Seconds() / (meanCost * quotaUsedFraction)
 	for range poisson(w.rng, mean) {
 		region := account % quotaRegions
 		if w.rng.Float64() >= homeShare {
@@ -203,16 +205,16 @@
 		cost := math.Round(meanCost * (0.5 + w.rng.Float64()))
 		r := &quotaRequest{
 			account: account, instance: region*perRegion + w.rng.IntN(perRegion),
-			cost: cost, used: math.Round(cost * quotaUsed), at: w.now,
+			cost: cost, usedTokens: math.Round(cost * quotaUsedFraction), at: w.now,
 		}
 		if w.now >= quotaWarmUp {
-			r.due = w.ideal[account].take(r.used, quotaRate, quotaBurst, w.now)
+			r.admittedByIdeal = w.idealBuckets[account].take(r.usedTokens, quotaRate, quotaBurst, w.now)
 		}
-		if r.due {
-			if !w.offends(account) {
+		if r.admittedByIdeal {
+			if !w.isOffender(account) {
 				w.requests++
 			}
-			w.due[account] += r.used
+			w.idealTokens[account] += r.usedTokens
 		}
 		w.policy.request(w, r)
 	}
@@ -226,45 +228,45 @@
 	return count
 }
 
-func (w *quotaWorld) admit(r *quotaRequest) {
-	w.overshoot = max(w.overshoot, w.usage[r.account].add(r.used, quotaRate, w.now)-quotaBurst)
+func (w *quotaSim) admit(r *quotaRequest) {
+	w.overshoot = max(w.overshoot, w.usageBuckets[r.account].add(r.usedTokens, quotaRate, w.now)-quotaBurst)
 	if w.now >= quotaWarmUp {
-		w.served[r.account] += r.used
+		w.servedTokens[r.account] += r.usedTokens
 	}
 }
 
-// offends tells whether an account asks for more than its rate. What it is refused
-// is not wrongful.
-func (w *quotaWorld) offends(account int) bool {
+// isOffender reports whether an account requests more than its rate. Refusals of its
+// requests are not wrongful.
+func (w *quotaSim) isOffender(account int) bool {
 	return w.scenario.offender && account == quotaAccounts-1
 }
 
-func (w *quotaWorld) refuse(r *quotaRequest) {
-	if r.due && !w.offends(r.account) {
-		w.wrongful++
+func (w *quotaSim) refuse(r *quotaRequest) {
+	if r.admittedByIdeal && !w.isOffender(r.account) {
+		w.wrongfulRefusals++
 	}
 }
 
-func (w *quotaWorld) row(policy string) []string {
-	worst, offender := math.Inf(1), "-"
-	for account, due := range w.due {
-		share := min(1, w.served[account]/due)
-		if w.offends(account) {
+func (w *quotaSim) row(policy string) []string {
+	worstShare, offender := math.Inf(1), "-"
+	for account, due := range w.idealTokens {
+		share := min(1, w.servedTokens[account]/due)
+		if w.isOffender(account) {
 			offender = fmt.Sprintf("%.1f%%", 100*share)
 			continue
 		}
-		worst = min(worst, share)
+		worstShare = min(worstShare, share)
 	}
 	return []string{
 		w.scenario.name, policy,
-		fmt.Sprintf("%.2f%%", 100*float64(w.wrongful)/float64(w.requests)),
+		fmt.Sprintf("%.2f%%", 100*float64(w.wrongfulRefusals)/float64(w.requests)),
 		fmt.Sprintf("%.0f", w.overshoot),
-		fmt.Sprintf("%.1f", float64(w.messages)/quotaRun.Seconds()/quotaInstances),
-		fmt.Sprintf("%.1f%%", 100*worst), offender,
+		fmt.Sprintf("%.1f", float64(w.messages)/quotaRunLength.Seconds()/quotaInstances),
+		fmt.Sprintf("%.1f%%", 100*worstShare), offender,
 	}
 }
 
-// quotaExperiment compares slots and loans with simpler ways to count.
+// quotaExperiment compares slots and loans with simpler quota policies.
 func quotaExperiment(seed uint64) (Table, error) {
 	t := Table{
 		Columns: []string{"scenario", "policy", "wrongful refusals", "overshoot of the worst window, tokens", "messages per second and instance", "worst-served account within its rate, share of its due", "offender, share of its due"},
@@ -276,11 +278,11 @@
 	for _, scenario := range quotaScenarios {
 		for _, policy := range []struct {
 			name string
-			make func(*quotaWorld) quotaPolicy
+			make func(*quotaSim) quotaPolicy
 		}{
 			{"slots and loans", newLoanPolicy}, {"even split per instance", newSplitPolicy}, {"one counting owner", newOwnerPolicy},
 		} {
-			w := newQuotaWorld(seed, scenario, nil)
+			w := newQuotaSim(seed, scenario, nil)
 			w.policy = policy.make(w)
 			w.run()
 			t.Rows = append(t.Rows, w.row(policy.name))
--- a/experiment/quota_policies.go
+++ b/experiment/quota_policies.go
@@ -8,14 +8,14 @@
 	"github.com/basilroute/basilroute/coordination/slots"
 )
 
-// loanPolicy runs the product's ledgers.
+// loanPolicy runs the product's quota ledgers.
 type loanPolicy struct {
-	ledgers []*quota.Ledger
-	busy    []map[int]bool
-	waiting []*loanWait
+	ledgers   []*quota.Ledger
+	openCalls []map[int]bool
+	waiting   []*waitingRequest
 }
 
-type loanWait struct {
+type waitingRequest struct {
 	request *quotaRequest
 	waiter  *quota.Waiter
 }
@@ -27,9 +27,9 @@
 
 var quotaEpoch = time.Unix(1_000_000, 0)
 
-func (w *quotaWorld) clock() time.Time { return quotaEpoch.Add(w.now) }
+func (w *quotaSim) clock() time.Time { return quotaEpoch.Add(w.now) }
 
-func newLoanPolicy(w *quotaWorld) quotaPolicy {
+func newLoanPolicy(w *quotaSim) quotaPolicy {
 	p := &loanPolicy{}
 	perDomain := quotaInstances / quotaDomains
 	for instance := range quotaInstances {
@@ -43,30 +43,30 @@
 		}
 		l.SetHeldSlots(held, w.clock())
 		p.ledgers = append(p.ledgers, l)
-		p.busy = append(p.busy, make(map[int]bool))
+		p.openCalls = append(p.openCalls, make(map[int]bool))
 	}
 	return p
 }
 
 func loanMember(instance int) slots.Member { return slots.Member{ID: fmt.Sprint(instance)} }
 
-func (p *loanPolicy) request(w *quotaWorld, r *quotaRequest) {
+func (p *loanPolicy) request(w *quotaSim, r *quotaRequest) {
 	name := w.docs[r.account].Name
 	if c, ok := p.ledgers[r.instance].Admit(name, r.cost, w.clock()); ok {
 		p.admit(w, r, c)
 		return
 	}
 	waiter := p.ledgers[r.instance].Wait(name, r.cost, quotaMaxWait, w.clock())
-	p.waiting = append(p.waiting, &loanWait{r, waiter})
+	p.waiting = append(p.waiting, &waitingRequest{r, waiter})
 	p.poll(w)
 }
 
-func (p *loanPolicy) admit(w *quotaWorld, r *quotaRequest, c quota.Charge) {
+func (p *loanPolicy) admit(w *quotaSim, r *quotaRequest, c quota.Charge) {
 	w.admit(r)
-	w.after(quotaLength, func() { p.ledgers[r.instance].Settle(c, r.used, w.clock()) })
+	w.after(quotaRequestDuration, func() { p.ledgers[r.instance].Settle(c, r.usedTokens, w.clock()) })
 }
 
-func (p *loanPolicy) poll(w *quotaWorld) {
+func (p *loanPolicy) poll(w *quotaSim) {
 	kept := p.waiting[:0]
 	for _, x := range p.waiting {
 		select {
@@ -83,32 +83,33 @@
 	p.waiting = kept
 }
 
-func (p *loanPolicy) step(w *quotaWorld) {
+func (p *loanPolicy) step(w *quotaSim) {
 	for instance, l := range p.ledgers {
-		wanted := false
+		borrowNeeded := false
 		select {
 		case <-l.BorrowNeeded():
-			wanted = true
+			borrowNeeded = true
 		default:
 		}
 		tick := w.now%lendTick == 0
 		if tick {
 			l.Tick(lendTick, w.clock())
 		}
-		if tick || wanted {
+		if tick || borrowNeeded {
 			p.borrow(w, instance)
 		}
 	}
 	p.poll(w)
 }
 
-// borrow asks the own domain first, then the own region, then the others.
-func (p *loanPolicy) borrow(w *quotaWorld, instance int) {
+// borrow calls lenders in the local domain first, then in the local region, then in the
+// other regions.
+func (p *loanPolicy) borrow(w *quotaSim, instance int) {
 	var lenders []slots.Member
 	index := make(map[slots.Member]int)
 	for distance := range 3 {
 		for other := range quotaInstances {
-			if other != instance && loanDistance(instance, other) == distance && !p.busy[instance][other] && w.reachable(instance, other) {
+			if other != instance && loanDistance(instance, other) == distance && !p.openCalls[instance][other] && w.reachable(instance, other) {
 				lenders = append(lenders, loanMember(other))
 				index[loanMember(other)] = other
 			}
@@ -129,13 +130,13 @@
 	return 2
 }
 
-func (p *loanPolicy) call(w *quotaWorld, from, to int, c *quota.Call) {
-	p.busy[from][to] = true
+func (p *loanPolicy) call(w *quotaSim, from, to int, c *quota.Call) {
+	p.openCalls[from][to] = true
 	answered := false
 	answer := func(lent []quota.LoanGrant) {
 		if !answered {
 			answered = true
-			delete(p.busy[from], to)
+			delete(p.openCalls[from], to)
 			p.ledgers[from].CompleteCall(c, lent, w.clock())
 		}
 	}
@@ -146,43 +147,43 @@
 	})
 }
 
-// splitPolicy gives each instance an even part. It is a baseline.
+// splitPolicy is a baseline: it divides rate and burst evenly among the instances.
 type splitPolicy struct {
-	parts [quotaInstances][quotaAccounts]meter
+	buckets [quotaInstances][quotaAccounts]tokenBucket
 }
 
-func newSplitPolicy(*quotaWorld) quotaPolicy { return &splitPolicy{} }
+func newSplitPolicy(*quotaSim) quotaPolicy { return &splitPolicy{} }
 
-func (p *splitPolicy) request(w *quotaWorld, r *quotaRequest) {
-	part := &p.parts[r.instance][r.account]
+func (p *splitPolicy) request(w *quotaSim, r *quotaRequest) {
+	part := &p.buckets[r.instance][r.account]
 	if !part.take(r.cost, quotaRate/quotaInstances, quotaBurst/quotaInstances, w.now) {
 		w.refuse(r)
 		return
 	}
 	w.admit(r)
-	w.after(quotaLength, func() {
-		part.tokens = min(quotaBurst/quotaInstances, part.tokens+r.cost-r.used)
+	w.after(quotaRequestDuration, func() {
+		part.tokens = min(quotaBurst/quotaInstances, part.tokens+r.cost-r.usedTokens)
 	})
 }
 
-func (p *splitPolicy) step(*quotaWorld) {}
+func (p *splitPolicy) step(*quotaSim) {}
 
-// ownerPolicy asks one instance an account for every request. It is a baseline.
-type ownerPolicy struct{ accounts [quotaAccounts]meter }
+// ownerPolicy is a baseline: one instance per account decides every request.
+type ownerPolicy struct{ buckets [quotaAccounts]tokenBucket }
 
-func newOwnerPolicy(*quotaWorld) quotaPolicy { return &ownerPolicy{} }
+func newOwnerPolicy(*quotaSim) quotaPolicy { return &ownerPolicy{} }
 
-func (p *ownerPolicy) request(w *quotaWorld, r *quotaRequest) {
+func (p *ownerPolicy) request(w *quotaSim, r *quotaRequest) {
 	owner := r.account * 7 % quotaInstances
 	if !w.reachable(r.instance, owner) {
 		w.refuse(r)
 		return
 	}
 	w.send(r.instance, owner, func() {
-		ok := p.accounts[r.account].take(r.cost, quotaRate, quotaBurst, w.now)
+		ok := p.buckets[r.account].take(r.cost, quotaRate, quotaBurst, w.now)
 		if ok {
-			w.after(quotaLength, func() {
-				p.accounts[r.account].tokens = min(quotaBurst, p.accounts[r.account].tokens+r.cost-r.used)
+			w.after(quotaRequestDuration, func() {
+				p.buckets[r.account].tokens = min(quotaBurst, p.buckets[r.account].tokens+r.cost-r.usedTokens)
 			})
 		}
 		w.send(owner, r.instance, func() {
@@ -195,4 +196,4 @@
 	})
 }
 
-func (p *ownerPolicy) step(*quotaWorld) {}
+func (p *ownerPolicy) step(*quotaSim) {}
