--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -23,20 +23,20 @@
 	})
 }
 
-func TestLine(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	near := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 	exact := FitLine([]Point{{1, 5}, {2, 7}, {4, 11}, {8, 19}})
 	if !near(exact.Intercept, 3) || !near(exact.Slope, 2) || !near(exact.R2, 1) || !near(exact.At(100), 203) {
-		t.Errorf("an exact line: %+v", exact)
+		t.Errorf("fit of points on a line: %+v", exact)
 	}
 	noise := FitLine([]Point{{1, 1}, {2, -1}, {3, 1}, {4, -1}})
 	if noise.R2 > 0.3 {
-		t.Errorf("noise has no good fit: %+v", noise)
+		t.Errorf("fit of noise has R2 above 0.3: %+v", noise)
 	}
 	if one := FitLine([]Point{{5, 2}, {5, 4}}); one.Slope != 0 || one.Intercept != 3 || one.Sizes != 1 {
-		t.Errorf("one size: %+v", one)
+		t.Errorf("fit of points of one size: %+v", one)
 	}
 	if below := (Fit{Intercept: -10, Slope: 1}); below.At(5) != 0 {
-		t.Error("a value below zero")
+		t.Error("At does not clamp a negative value to 0")
 	}
 }
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Fit is a straight line through points.
+// Fit is a straight line fitted to points.
 type Fit struct {
 	Intercept float64
-	Slope     float64 // a unit of size
-	R2        float64 // share of the variance that the line explains, 0 to 1
-	Sizes     int     // different sizes among the points
+	Slope     float64 // per unit of size
+	R2        float64 // coefficient of determination, 0 to 1
+	Sizes     int     // number of distinct sizes among the points
 }
 
 // FitLine fits by least squares. Repeated runs of one size count as points of their
@@ -33,15 +33,15 @@
 	}
 	fit.Slope = sxy / sxx
 	fit.Intercept = meanY - fit.Slope*meanX
-	fit.R2 = 1 // all values are equal, and the line meets them
+	fit.R2 = 1 // for equal values, which the line fits exactly
 	if syy > 0 {
 		fit.R2 = sxy * sxy / (sxx * syy)
 	}
 	return fit
 }
 
-// At returns the line's value at a size. A line that starts below zero is cut
-// off there: no benchmark has a value below it.
+// At returns the line's value at a size, clamped at 0, since no benchmark has a
+// negative value.
 func (f Fit) At(size float64) float64 {
 	return math.Max(0, f.Intercept+f.Slope*size)
 }
--- a/capacity/parse.go
+++ b/capacity/parse.go
@@ -1,8 +1,8 @@
-// Package capacity fits straight lines to benchmarks that were run at several
-// sizes and works out from them what the sizes of the future will take.
+// Package capacity fits straight lines to benchmarks that were run at several sizes and
+// extrapolates them to the planned sizes of the fleet.
 //
-// It reads the output of `go test -bench Size -benchmem`. A benchmark takes part
-// when it is named BenchmarkSize<What> and its sub-benchmarks n=<size>.
+// It reads the output of `go test -bench Size -benchmem`. A benchmark is included if it
+// is named BenchmarkSize<What> and its sub-benchmarks are named n=<size>.
 package capacity
 
 import (
@@ -21,7 +21,7 @@
 	Value float64
 }
 
-// Series are the points of one metric of one benchmark.
+// Series holds the points of one metric of one benchmark.
 type Series struct {
 	Benchmark string // without BenchmarkSize and the size
 	Metric    string // unit, such as ns/op
@@ -34,8 +34,8 @@
 // maxLineBytes bounds a line of go test's output.
 const maxLineBytes = 1 << 20
 
-// Parse returns the series in the order in which they first appear. Lines that
-// are no benchmarks by size are passed over.
+// Parse returns the series in the order in which they first appear. Lines that are not
+// benchmarks by size are skipped.
 func Parse(r io.Reader) ([]*Series, error) {
 	var all []*Series
 	known := make(map[string]*Series)
--- a/yamldoc/decode.go
+++ b/yamldoc/decode.go
@@ -22,25 +22,25 @@
 	unmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
-// Source is a document that was read and not yet decoded.
+// Source is a document that was parsed as YAML but not yet decoded.
 type Source struct {
 	file     string
-	root     ast.Node // nil when findings says why it cannot be read
+	root     ast.Node // nil if the document could not be parsed; findings has the reason
 	findings Findings
 }
 
-// Read reads a document as YAML. What is wrong with it is found again in the
-// reports of Decode and Peek.
+// Read parses a document as YAML. Its findings are included in the reports of Decode
+// and DecodeLenient.
 func Read(file string, data []byte) *Source {
 	r := newReport(file)
 	return &Source{file: file, root: r.parse(data), findings: r.findings}
 }
 
-// Decode fills the struct that out points to. The report holds what was found
-// so far; the caller adds the findings of its own checks and calls Err.
+// Decode fills the struct that out points to. The caller adds the findings of its own
+// checks to the returned report and calls Err.
 func (s *Source) Decode(out any) *Report { return s.decode(out, false) }
 
-// DecodeLenient is Decode, but fields that out does not have are no findings.
+// DecodeLenient is like Decode but ignores fields that out does not have.
 func (s *Source) DecodeLenient(out any) *Report { return s.decode(out, true) }
 
 func (s *Source) decode(out any, lenient bool) *Report {
@@ -53,7 +53,7 @@
 	return r
 }
 
-// Decode reads a document and fills the struct that out points to.
+// Decode parses a document and fills the struct that out points to.
 func Decode(file string, data []byte, out any) *Report {
 	return Read(file, data).Decode(out)
 }
@@ -63,7 +63,7 @@
 		r.Addf("", "the document has %d bytes, the limit is %d", len(data), MaxBytes)
 		return nil
 	}
-	file, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey()) // they are findings of their own
+	file, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey()) // duplicate keys are reported as findings by mapping
 	if err != nil {
 		r.syntaxError(err)
 		return nil
@@ -80,10 +80,10 @@
 }
 
 func (r *Report) syntaxError(err error) {
-	at := place{1, 1}
+	at := position{1, 1}
 	message := err.Error()
 	if t, ok := err.(interface{ GetToken() *token.Token }); ok && t.GetToken() != nil {
-		at = placeOf(t.GetToken())
+		at = positionOf(t.GetToken())
 	}
 	if m, ok := err.(interface{ GetMessage() string }); ok {
 		message = m.GetMessage()
@@ -96,21 +96,21 @@
 	return line
 }
 
-func placeOf(t *token.Token) place {
+func positionOf(t *token.Token) position {
 	if t == nil || t.Position == nil {
-		return place{}
+		return position{}
 	}
-	return place{t.Position.Line, t.Position.Column}
+	return position{t.Position.Line, t.Position.Column}
 }
 
 func (r *Report) decode(node ast.Node, v reflect.Value, path string) {
-	node = plain(node)
-	r.note(path, node)
+	node = unwrap(node)
+	r.recordPosition(path, node)
 	switch {
 	case node.Type() == ast.NullType:
 		return
 	case node.Type() == ast.AliasType:
-		r.wrong(placeOf(node.GetToken()), path, "aliases are not taken: write the value out")
+		r.addUndecodable(positionOf(node.GetToken()), path, "aliases are not taken: write the value out")
 	case v.Type() == durationType:
 		r.decodeDuration(node, v, path)
 	case reflect.PointerTo(v.Type()).Implements(unmarshalerType):
@@ -120,9 +120,9 @@
 	}
 }
 
-func (r *Report) note(path string, node ast.Node) {
-	if _, ok := r.places[path]; !ok {
-		r.places[path] = placeOf(node.GetToken())
+func (r *Report) recordPosition(path string, node ast.Node) {
+	if _, ok := r.positions[path]; !ok {
+		r.positions[path] = positionOf(node.GetToken())
 	}
 }
 
@@ -143,8 +143,8 @@
 	}
 }
 
-// plain strips anchors and tags, which carry no value of their own.
-func plain(node ast.Node) ast.Node {
+// unwrap strips anchors and tags, which have no value of their own.
+func unwrap(node ast.Node) ast.Node {
 	for {
 		switch n := node.(type) {
 		case *ast.AnchorNode:
@@ -157,7 +157,7 @@
 	}
 }
 
-func entries(node ast.Node) ([]*ast.MappingValueNode, bool) {
+func mappingEntries(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		return n.Values, true
@@ -174,8 +174,8 @@
 	return path + "." + field
 }
 
-func (r *Report) mapping(node ast.Node, path string, each func(key string, at place, value ast.Node)) {
-	values, ok := entries(node)
+func (r *Report) mapping(node ast.Node, path string, each func(key string, at position, value ast.Node)) {
+	values, ok := mappingEntries(node)
 	if !ok {
 		r.wrongType(node, path, "a mapping")
 		return
@@ -183,7 +183,7 @@
 	seen := make(map[string]bool, len(values))
 	for _, entry := range values {
 		key := scalarText(entry.Key)
-		at := placeOf(entry.Key.GetToken())
+		at := positionOf(entry.Key.GetToken())
 		if seen[key] {
 			r.add(at, join(path, key), "is given twice")
 			continue
@@ -195,7 +195,7 @@
 
 func (r *Report) decodeStruct(node ast.Node, v reflect.Value, path string) {
 	fields := fieldsByTag(v)
-	r.mapping(node, path, func(key string, at place, value ast.Node) {
+	r.mapping(node, path, func(key string, at position, value ast.Node) {
 		field, ok := fields[key]
 		if !ok && r.lenient {
 			return
@@ -204,7 +204,7 @@
 			r.add(at, join(path, key), "unknown field")
 			return
 		}
-		r.places[join(path, key)] = at
+		r.positions[join(path, key)] = at
 		r.decode(value, field, join(path, key))
 	})
 }
@@ -222,8 +222,8 @@
 
 func (r *Report) decodeMap(node ast.Node, v reflect.Value, path string) {
 	out := reflect.MakeMap(v.Type())
-	r.mapping(node, path, func(key string, at place, value ast.Node) {
-		r.places[join(path, key)] = at
+	r.mapping(node, path, func(key string, at position, value ast.Node) {
+		r.positions[join(path, key)] = at
 		item := reflect.New(v.Type().Elem()).Elem()
 		r.decode(value, item, join(path, key))
 		out.SetMapIndex(reflect.ValueOf(key).Convert(v.Type().Key()), item)
@@ -269,7 +269,7 @@
 func (r *Report) decodeText(node ast.Node, v reflect.Value, path string) {
 	err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(scalarText(node)))
 	if err != nil {
-		r.wrong(placeOf(node.GetToken()), path, err.Error())
+		r.addUndecodable(positionOf(node.GetToken()), path, err.Error())
 	}
 }
 
@@ -303,12 +303,12 @@
 		}
 		v.SetFloat(f)
 	default:
-		r.add(placeOf(node.GetToken()), path, fmt.Sprintf("field of kind %s cannot be set", v.Kind()))
+		r.add(positionOf(node.GetToken()), path, fmt.Sprintf("field of kind %s cannot be set", v.Kind()))
 	}
 }
 
 func (r *Report) wrongType(node ast.Node, path, want string) {
-	r.wrong(placeOf(node.GetToken()), path, fmt.Sprintf("want %s, have %s", want, describe(node)))
+	r.addUndecodable(positionOf(node.GetToken()), path, fmt.Sprintf("want %s, have %s", want, describe(node)))
 }
 
 func describe(node ast.Node) string {
--- a/yamldoc/doc.go
+++ b/yamldoc/doc.go
@@ -2,6 +2,6 @@
 // a document together, each with its line and column.
 //
 // Struct fields are matched by their `yaml` tag. Unknown fields, wrong types,
-// duplicate keys and malformed durations are findings; decoding goes on after
-// each of them, so that one run shows all that is wrong.
+// duplicate keys and malformed durations are findings; decoding continues after each of
+// them, so that one run reports all faults.
 package yamldoc
--- a/yamldoc/findings.go
+++ b/yamldoc/findings.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Finding is one thing wrong with a document.
+// Finding is one fault of a document.
 type Finding struct {
 	File    string // name given to Decode; may be empty
-	Line    int    // from 1; 0 when the place is not known
+	Line    int    // from 1; 0 if the position is not known
 	Column  int    // from 1
 	Path    string // field, such as classes.bulk.max_wait
 	Message string
@@ -34,7 +34,7 @@
 	return b.String()
 }
 
-// Findings is an error that carries everything found in a document.
+// Findings is an error that holds all findings of a document.
 type Findings []Finding
 
 func (fs Findings) Error() string {
@@ -54,56 +54,56 @@
 
 // Report collects findings while a document is decoded and checked.
 type Report struct {
-	file     string
-	lenient  bool // unknown fields are passed over
-	findings Findings
-	places   map[string]place
-	undone   map[string]bool // fields whose value could not be decoded
+	file      string
+	lenient   bool // unknown fields are ignored
+	findings  Findings
+	positions map[string]position
+	undecoded map[string]bool // fields whose value could not be decoded
 }
 
 func newReport(file string) *Report {
-	return &Report{file: file, places: map[string]place{"": {1, 1}}, undone: make(map[string]bool)}
+	return &Report{file: file, positions: map[string]position{"": {1, 1}}, undecoded: make(map[string]bool)}
 }
 
-type place struct{ line, column int }
+type position struct{ line, column int }
 
-// Addf adds a finding at the place of the field that path names, or at the
-// nearest enclosing field that the document holds. A check of a field whose
-// value could not be decoded has nothing to say: its finding is there already.
+// Addf adds a finding at the position of the field that path names, or of the nearest
+// enclosing field in the document. It ignores findings about a field whose value could
+// not be decoded, since that field has a finding already.
 func (r *Report) Addf(path, format string, args ...any) {
-	if r.undone[path] {
+	if r.undecoded[path] {
 		return
 	}
 	at := r.lookup(path)
 	r.add(at, path, fmt.Sprintf(format, args...))
 }
 
-func (r *Report) add(at place, path, message string) {
+func (r *Report) add(at position, path, message string) {
 	r.findings = append(r.findings, Finding{
 		File: r.file, Line: at.line, Column: at.column, Path: path, Message: message,
 	})
 }
 
-// wrong adds a finding about a value that could not be decoded.
-func (r *Report) wrong(at place, path, message string) {
-	r.undone[path] = true
+// addUndecodable adds a finding about a value that could not be decoded.
+func (r *Report) addUndecodable(at position, path, message string) {
+	r.undecoded[path] = true
 	r.add(at, path, message)
 }
 
-func (r *Report) lookup(path string) place {
+func (r *Report) lookup(path string) position {
 	for {
-		if at, ok := r.places[path]; ok {
+		if at, ok := r.positions[path]; ok {
 			return at
 		}
 		i := strings.LastIndexByte(path, '.')
 		if i < 0 {
-			return r.places[""]
+			return r.positions[""]
 		}
 		path = path[:i]
 	}
 }
 
-// Err returns all findings in the order of the document, or nil.
+// Err returns all findings in document order, or nil.
 func (r *Report) Err() error {
 	if len(r.findings) == 0 {
 		return nil
--- a/yamldoc/yamldoc_test.go
+++ b/yamldoc/yamldoc_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// level is a type that decodes itself.
+// level implements encoding.TextUnmarshaler.
 type level int
 
 func (l *level) UnmarshalText(text []byte) error {
@@ -45,7 +45,7 @@
 	B string `yaml:"b"`
 }
 
-// The transcripts hold what a team sees: each finding with its line and column.
+// The expected output shows each finding with its line and column.
 func TestDecode(t *testing.T) {
 	datadriven.RunTest(t, "testdata/decode", func(t *testing.T, d *datadriven.TestData) string {
 		var out sample
@@ -78,8 +78,8 @@
 	}
 }
 
-// Documents come from many hands. Whatever they hold, the decoder ends, says no
-// without a panic, and every finding has a place inside the document.
+// Documents are untrusted input. For any content the decoder terminates without a
+// panic, and every finding has a position inside the document.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		"", "name: a\n", "name: [\n", "a: &x {b: *x}\n", "&a [*a]", "? {a: b}\n: c\n", "{}", "---\n---\n", "!!int x", "name: !!binary x",
