--- a/protocol/frame/frame.go
+++ b/protocol/frame/frame.go
@@ -13,7 +13,7 @@
 	FinishCancelled = "cancelled"
 )
 
-// Frame is one part of a generation.
+// Frame is one chunk of a generation.
 type Frame struct {
 	RequestID    string
 	Attempt      int
@@ -50,9 +50,9 @@
 	return w.Buf
 }
 
-// Decode parses one line into f. Fields that are not known are skipped. The
-// request id of the frame that f held before is kept when it is the same, since
-// it is the same in every frame of a stream.
+// Decode parses one line into f and skips unknown fields. It reuses the request id
+// string that f held before if the id is the same, as it is in all frames of a stream,
+// to avoid an allocation.
 func Decode(line []byte, f *Frame) error {
 	previous := f.RequestID
 	*f = Frame{}
@@ -60,12 +60,12 @@
 	defer jx.PutDecoder(d)
 	d.ResetBytes(line)
 	return d.ObjBytes(func(d *jx.Decoder, key []byte) error {
-		return f.field(d, key, previous)
+		return f.decodeField(d, key, previous)
 	})
 }
 
-// sameOrNew decodes a string, and allocates only when it differs from the previous one.
-func sameOrNew(d *jx.Decoder, previous string) (string, error) {
+// reuseOrAllocate decodes a string and allocates only if it differs from previous.
+func reuseOrAllocate(d *jx.Decoder, previous string) (string, error) {
 	encoded, err := d.StrBytes()
 	if string(encoded) == previous {
 		return previous, err
@@ -73,10 +73,10 @@
 	return string(encoded), err
 }
 
-func (f *Frame) field(d *jx.Decoder, key []byte, previous string) (err error) {
+func (f *Frame) decodeField(d *jx.Decoder, key []byte, previous string) (err error) {
 	switch string(key) {
 	case "request_id":
-		f.RequestID, err = sameOrNew(d, previous)
+		f.RequestID, err = reuseOrAllocate(d, previous)
 	case "attempt":
 		f.Attempt, err = d.Int()
 	case "seq":
--- a/protocol/frame/frame_test.go
+++ b/protocol/frame/frame_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// An engine of another version may send fields that are not known here, and any
-// byte may be damaged. A frame that decodes has to encode to the same frame, and
-// nothing of the frame decoded before may shine through.
+// An engine of another version may send unknown fields, and any byte may be corrupted.
+// A decoded frame has to encode to the same frame, and it must not contain any value of
+// the frame that was decoded into the same struct before.
 func FuzzDecode(f *testing.F) {
 	last := sample
 	last.Finish, last.PromptTokens, last.CachedTokens = FinishLength, 12, 64
@@ -54,7 +54,7 @@
 			t.Fatalf("%+v into a fresh frame, %+v into a used one", fresh, used)
 		}
 		if fresh.Finish == "" && (fresh.PromptTokens != 0 || fresh.CachedTokens != 0) {
-			return // these travel with the last frame only
+			return // these are encoded in the last frame only
 		}
 		var again Frame
 		if err := Decode(fresh.AppendLine(nil), &again); err != nil || again != fresh {
--- a/protocol/refusal/refusal.go
+++ b/protocol/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal defines the typed refusals that callers get and that
-// instances hand to each other.
+// Package refusal defines the typed refusals that callers get and that instances send
+// to each other.
 package refusal
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/basilroute/basilroute/protocol/peerpb"
 )
 
-// Code says why a request was refused. Callers may rely on it.
+// Code is the reason for which a request was refused. It is part of the API.
 type Code string
 
 // Codes of refusals.
@@ -41,7 +41,7 @@
 	CodePeerUnreachable Code = "peer_unreachable"
 )
 
-var statusOf = map[Code]int{
+var httpStatuses = map[Code]int{
 	CodeInvalid:         http.StatusUnprocessableEntity,
 	CodeUnauthorized:    http.StatusUnauthorized,
 	CodeWithdrawn:       http.StatusUnauthorized,
@@ -66,22 +66,22 @@
 	CodePeerUnreachable: http.StatusServiceUnavailable,
 }
 
-// Run says whether a refused request ran on a backend server.
+// Run is the run state of a refused request: whether it ran on a backend server.
 type Run string
 
-// States of a refused request.
+// Run states of a refused request.
 const (
-	NotRun  Run = "not_run" // no backend server began it, and none will
+	NotRun  Run = "not_run" // no backend server started it, and none will
 	Unknown Run = "unknown"
 	Ran     Run = "ran"
 )
 
-// Refusal is the error type of everything a caller is refused.
+// Refusal is the error type of refused requests.
 type Refusal struct {
 	Code       Code
 	Message    string
 	Run        Run
-	RetryAfter time.Duration // when to come back; 0 when coming back does not help
+	RetryAfter time.Duration // when to retry; 0 if a retry does not help
 }
 
 func (r *Refusal) Error() string {
@@ -90,7 +90,7 @@
 
 // Status returns the HTTP status of the refusal.
 func (r *Refusal) Status() int {
-	if status, ok := statusOf[r.Code]; ok {
+	if status, ok := httpStatuses[r.Code]; ok {
 		return status
 	}
 	return http.StatusInternalServerError
@@ -101,7 +101,7 @@
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Run: NotRun}
 }
 
-// After returns a copy that tells the caller when to come back.
+// After returns a copy that tells the caller to retry after d.
 func (r *Refusal) After(d time.Duration) *Refusal {
 	next := *r
 	next.RetryAfter = d
@@ -115,8 +115,8 @@
 	return &next
 }
 
-// From returns the refusal that err carries, or an internal one with an unknown
-// run state: an error that no code typed says nothing of what ran.
+// From returns the refusal that err wraps, or an internal one with run state unknown,
+// since an untyped error does not show whether the request ran.
 func From(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
@@ -141,7 +141,7 @@
 	}
 }
 
-// FromProto decodes a peer's refusal. A state that is not known counts as unknown.
+// FromProto decodes a peer's refusal. An unrecognized run state is decoded as Unknown.
 func FromProto(p *peerpb.Refusal) *Refusal {
 	run := Unknown
 	for state, encoded := range runToProto {
--- a/protocol/tokens/tokens.go
+++ b/protocol/tokens/tokens.go
@@ -1,5 +1,5 @@
-// Package tokens estimates prompt sizes and hashes prompt prefixes, so that
-// instances and engines speak of the same blocks.
+// Package tokens estimates prompt sizes and hashes prompt prefixes, so that instances
+// and engines identify cache blocks in the same way.
 package tokens
 
 import (
@@ -36,8 +36,8 @@
 	return Block(v), err
 }
 
-// AppendBlocks appends the hashes of the prompt's whole blocks to dst. Each
-// hash covers all blocks before it, so equal hashes mean equal prefixes.
+// AppendBlocks appends the hashes of the prompt's complete blocks to dst. Each hash
+// also covers all blocks before it, so equal hashes mean equal prefixes.
 func AppendBlocks(dst []Block, prompt string) []Block {
 	var chain [8]byte
 	var previous uint64
