--- a/examples/examples.go
+++ b/examples/examples.go
@@ -11,7 +11,7 @@
 //go:embed recall-desk guild
 var files embed.FS
 
-// Names returns the deployments.
+// Names returns the names of the deployments.
 func Names() []string { return []string{"recall-desk", "guild"} }
 
 // Files returns the files of a deployment.
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -10,9 +10,9 @@
 	"github.com/basilroute/basilroute/service"
 )
 
-// An operator starts from these files, so each of them has to pass the checks
-// of `basilroute validate`, and each instance and account has to fit the fleet
-// document of its deployment.
+// Operators start from these files, so each of them has to pass `basilroute validate`,
+// and the domain of each instance and the home region of each account have to be in the
+// fleet document of the deployment.
 func TestExamplesAreValid(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) { checkDeployment(t, name) })
--- a/imports_test.go
+++ b/imports_test.go
@@ -12,8 +12,8 @@
 
 const module = "github.com/basilroute/basilroute/"
 
-// layers are the directories from the top down. A package may import what stands
-// below its own layer, and packages of its own layer.
+// layers are the directories from the top layer down. A package may import packages of
+// its own layer and of the layers below.
 var layers = [][]string{
 	{"cmd", "e2e"},
 	{"platform"},
@@ -40,14 +40,14 @@
 	return -1
 }
 
-// packageImports are the imports of a package without its tests.
+// packageImports holds the imports of a package without its tests.
 type packageImports struct {
 	ImportPath string
 	Imports    []string
 }
 
-// packages parses the sources itself: go test does not see what a command that
-// it starts reads, and would hand out a stored result after a change.
+// packages parses the sources itself: go test does not track the files that a command
+// started by a test reads, and would return a cached result after a change.
 func packages(t *testing.T) []*packageImports {
 	t.Helper()
 	known := make(map[string]*packageImports)
@@ -88,21 +88,21 @@
 	return all
 }
 
-// Decisions stay testable without a network only as long as nothing below the
-// transport imports it, and a cycle of layers would make each part impossible to
-// read alone. Stand-ins and the load tool are never part of the product's daemon.
-func TestImportsPointOneWay(t *testing.T) {
+// Decisions are testable without a network only as long as no layer below transport
+// imports it, and with an import cycle between layers none of them could be understood
+// by itself. Stand-ins and the load tool must not become part of the daemon.
+func TestImportsFollowLayers(t *testing.T) {
 	for _, p := range packages(t) {
 		from := layerOf(p.ImportPath)
 		if from < 0 {
-			t.Errorf("%s stands in no layer", p.ImportPath)
+			t.Errorf("%s is in no layer", p.ImportPath)
 		}
 		for _, imported := range p.Imports {
 			if !strings.HasPrefix(imported, module) {
 				continue
 			}
 			if to := layerOf(imported); to < from {
-				t.Errorf("%s imports %s, which stands above it", p.ImportPath, imported)
+				t.Errorf("%s imports %s, which is in a higher layer", p.ImportPath, imported)
 			}
 			if strings.HasPrefix(p.ImportPath, module+"instance") && strings.HasPrefix(imported, module+"standin") {
 				t.Errorf("%s imports the stand-in %s", p.ImportPath, imported)
@@ -111,11 +111,11 @@
 	}
 }
 
-// forbidden are packages that decisions have no use for.
+// forbidden are packages that decisions must not import.
 var forbidden = []string{"net", "net/http", "os", "os/exec", "google.golang.org/grpc"}
 
-// A decision that reads the network or the wall's files cannot be run in virtual
-// time, and a test of it would prove nothing about the product.
+// A decision that uses the network or reads files cannot run in virtual time, and a
+// simulation of it would prove nothing about the product.
 func TestDecisionsDoNoIO(t *testing.T) {
 	for _, p := range packages(t) {
 		top := strings.HasPrefix(p.ImportPath, module+"coordination/") || strings.HasPrefix(p.ImportPath, module+"state/")
@@ -132,9 +132,9 @@
 	}
 }
 
-// platformNames are words of the platform's protocol. They stay in the package that
-// translates it: elsewhere they would tie the product to one deployment, and a change
-// of the protocol would have to be found everywhere.
+// platformNames are names of the platform's protocol. Only the package that translates
+// the protocol may contain them: elsewhere they would tie the product to one deployment,
+// and a change of the protocol would affect many packages.
 var platformNames = []string{
 	"X-Basilroute-", "/basilroute/kv", "/basilroute/resolve", "/basilroute/readiness", "BASILROUTE_NODE_FILE",
 	"op/config", "op/evacuate", "Kv-Fetch", "Kv-From", "path_prefix", "expect_rev", "cold_left_ms",
@@ -156,7 +156,7 @@
 		}
 		for _, name := range platformNames {
 			if strings.Contains(string(source), name) {
-				t.Errorf("%s names %q", path, name)
+				t.Errorf("%s contains the platform's name %q", path, name)
 			}
 		}
 		return nil
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Checks every model in spec/ with spin. The plain model has to hold. Each line
+# Checks every model in spec/ with spin. The model itself has to hold. Each line
 #
 #     // variant: NAME
 #
-# names a broken variant: compiled with -DNAME, spin has to refute it, so that a
-# check which can no longer fail is noticed.
+# names a faulty variant: compiled with -DNAME, spin has to refute it. This detects a
+# check that can no longer fail.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -12,8 +12,8 @@
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# search MODEL VARIANT: an exhaustive search of one model; prints the verdict and
-# fails when it is not the one that has to be. VARIANT is "-" for the plain model.
+# search MODEL VARIANT: searches one model exhaustively, prints the result and fails if it
+# is not the expected one. VARIANT is "-" for the model itself.
 search() {
 	local model=$1 variant=$2 name=${1%.pml} dir=$work/$1.$2 found stored
 	local define=()
@@ -40,7 +40,7 @@
 export -f search
 export work depth
 
-# The searches do not depend on each other; each takes one core and little memory.
+# The searches are independent; each uses one core and little memory.
 for model in *.pml; do
 	echo "$model -"
 	sed -n "s|^// variant: *|$model |p" "$model"
