--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,16 +1,17 @@
 /*
- * Claims for at most once: comers send the same request under one idempotency
- * key, each through an instance, and at most one of them may run it.
+ * At-most-once execution by claims: several callers send the same request with one
+ * idempotency key, each through a different instance, and at most one of them may
+ * run it.
  *
- * Every comer makes a claim of its own nonce (package transport/claim, Claim).
- * The store applies messages in any order and as late as it likes, answers may
- * be lost, and an instance may be killed between claim and dispatch.
+ * Every sender creates a claim with its own nonce (package transport/claim). The store
+ * applies messages in any order and with any delay, responses may be lost, and an
+ * instance may be killed between claim and dispatch.
  *
- * NO_CAS: the store writes a claim over another.
- * OPEN_DISPATCHES: a claim whose answer was lost counts as made.
- * RETRACT_ANY: what stands is retracted, whoever made it.
+ * NO_CAS: the store overwrites an existing claim.
+ * OPEN_DISPATCHES: a claim whose response was lost counts as created.
+ * RETRACT_ANY: the existing claim is retracted, whoever created it.
  * RETRACT_UNKNOWN: a claim is retracted although its request may have run.
- * TAKE_OVER: a claim whose maker does not answer is taken over.
+ * TAKE_OVER: a claim whose creator does not respond is taken over.
  */
 // variant: NO_CAS
 // variant: OPEN_DISPATCHES
@@ -23,10 +24,10 @@
 
 mtype = { ok, conflict }
 
-byte claim = NOBODY; /* nonce of the claim that stands under the key */
+byte claim = NOBODY; /* nonce of the claim stored under the key */
 byte runs = 0;       /* how often a backend server ran the request */
 
-/* Messages on their way to the store, by sender. They overtake each other. */
+/* Messages in flight to the store, by sender. They may be reordered. */
 bool creating[COMERS + 1];
 bool removing[COMERS + 1];
 chan answer[COMERS + 1] = [1] of { mtype };
@@ -59,8 +60,8 @@
 }
 
 /*
- * The platform's key-value service: create-or-compare-and-swap, in any order and
- * as late as it likes.
+ * The platform's key-value service: create by compare-and-swap, in any order and with
+ * any delay.
  */
 active proctype Store()
 {
@@ -75,25 +76,25 @@
 	od
 }
 
-/* One request: transport/dispatch operate, with claim.Claimer and claim.Held. */
+/* One request: package transport/dispatch with the claims of package transport/claim. */
 proctype Comer(byte me)
 {
 	bool dispatched = false;
-	bool notRun = false; /* what the caller is told */
+	bool notRun = false; /* the caller gets run state not_run */
 	mtype got;
 
-	creating[me] = true; /* Claimer.create */
+	creating[me] = true; /* the claim is sent to the store */
 	if
 	:: answer[me]?got ->
 		if
 		:: got == ok -> goto claimed
 		:: got == conflict ->
 			if
-			:: claim == me -> goto claimed /* platform.Client.settle: its own nonce stands */
-			:: claim != me -> goto refused /* Claimer.standing */
+			:: claim == me -> goto claimed /* the client reads back its own nonce */
+			:: claim != me -> goto refused /* duplicate request */
 			fi
 		fi
-	:: skip -> /* the answer is lost, or later than claimTimeout */
+	:: skip -> /* the response is lost, or arrives after the time limit for a claim */
 #ifdef OPEN_DISPATCHES
 		goto claimed
 #else
@@ -118,7 +119,7 @@
 	:: skip
 	fi;
 	if
-	:: /* the backend server runs it; its answer may be lost: run state ran or unknown */
+	:: /* the backend server runs it; its response may be lost: run state ran or unknown */
 		dispatched = true;
 		runs++;
 		assert(runs <= 1);
@@ -126,13 +127,13 @@
 		removing[me] = true;
 #endif
 		goto done
-	:: /* the backend server was not reached: run state not_run, Held.Ended */
+	:: /* the backend server was not reached: run state not_run, the claim is retracted */
 		notRun = true;
 		removing[me] = true;
 		goto done
 	fi;
 
-settle: /* Claimer.retract: look, remove what is its own, look again */
+settle: /* retraction in the background: read, remove the own claim, read again */
 	do
 	:: claim == me -> removing[me] = true
 	:: goto done
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,27 +1,27 @@
 /*
- * Configuration that never reverts: a store with compare-and-swap, operators who
- * write to it, two instances that watch it and learn from each other, answers
- * that are lost, and a store that comes back from a snapshot and hands out
+ * Configuration never reverts. The model has a store with compare-and-swap, operators
+ * who write to it, two instances that watch it and exchange documents with each other,
+ * lost responses, and a store that is restored from a snapshot and assigns the same
  * revisions again.
  *
- * A write is known by its nonce; each comes after the one that it replaces
- * (newNonce in transport/platform). A place in the store is a rank, the store's
- * generation before its revision (configwatch.Rank).
+ * A write is identified by its nonce, which sorts after the nonce of the write that it
+ * replaces (transport/platform). A position in the store is a rank: the store's
+ * generation, then its revision (configwatch.Generations).
  */
 
 // documents are ordered by rank instead of nonce:
 // variant: RANK_ORDER
-// the store's document is taken whatever it is:
+// the store's document is always accepted:
 // variant: OBEY_STORE
-// what a restored store lost is not written back:
+// documents that a restored store lost are not written back:
 // variant: NO_WRITEBACK
-// what is written back gets a nonce of its own:
+// a document that is written back gets a new nonce:
 // variant: NEW_NONCE
-// a write whose answer was lost is repeated without compare-and-swap:
+// a write whose response was lost is retried without compare-and-swap:
 // variant: BLIND_RETRY
-// a restored store goes on in its old generation:
+// a restored store continues in its old generation:
 // variant: NO_GENERATION
-// the store is never read as a whole again:
+// the store is never read completely again:
 // variant: NO_WHOLE
 
 #define INSTANCES 2
@@ -41,16 +41,16 @@
 Row force[INSTANCES], rank[INSTANCES];
 byte cursor[INSTANCES], seenGeneration[INSTANCES];
 
-byte clock, writes; /* of the writers, who are taken to have one clock */
+byte clock, writes; /* of the writers, which share one clock in this model */
 
-/* An operator whose answer was lost. */
+/* An operator's write whose response was lost. */
 bool pending; byte pendingKey, pendingNonce, pendingExpect;
 
-/* A write-back that was decided and not sent yet. */
+/* A write-back that was decided but not sent yet. */
 bool backPending; byte backKey, backNonce, backExpect;
 
-/* Ghosts: what a write holds, and the newest write of each key that the store
- * accepted and did not lose by a restore. */
+/* Ghost variables: the content of each write, and for each key the newest write that
+ * the store accepted. */
 #define NONCES 10
 byte content[NONCES], accepted[KEYS];
 
@@ -68,7 +68,7 @@
 	if :: n > accepted[key] -> accepted[key] = n :: else fi
 }
 
-/* Log.accept: an older write never replaces a newer one. */
+/* configwatch.DocumentSet: an older write never replaces a newer one. */
 inline accept(i, key, n, newRank) {
 	if
 #ifdef RANK_ORDER
@@ -87,7 +87,7 @@
 	fi
 }
 
-/* storeWatch.storeLost: what stands in place of the newest document in force. */
+/* The instance's store watch: compares the store with the newest document in force. */
 inline findLost(i) {
 	lost = false;
 	j = 0;
@@ -100,7 +100,7 @@
 	fi
 }
 
-/* storeWatch.takeStored: read what changed after the cursor. */
+/* The store watch reads the changes after the cursor. */
 inline take(i) {
 	k = 0;
 	do
@@ -119,7 +119,7 @@
 	od
 }
 
-/* storeWatch.begin: a new generation is read from the start. */
+/* The store watch reads a new generation from the start. */
 inline begin(i) {
 	if
 	:: seenGeneration[i] != generation -> seenGeneration[i] = generation; cursor[i] = 0
@@ -127,7 +127,7 @@
 	fi
 }
 
-/* storeWatch.repairStore: open a generation above that of what is in force. */
+/* The repair of a restored store opens a generation above that of the documents in force. */
 inline openGeneration(i) {
 #ifndef NO_GENERATION
 	k = rank[i].by[0] / GENERATION;
@@ -140,7 +140,7 @@
 	skip
 }
 
-/* storeWatch.writeBackOne: decide; the write goes out later, by compare-and-swap. */
+/* The repair decides to write a document back; the write is sent later, by compare-and-swap. */
 inline decideBack(i, key) {
 	if
 	:: !backPending && nonce[key] < force[i].by[key] && clock < NONCES - 1 ->
@@ -157,7 +157,7 @@
 inline sendBack() {
 	if
 	:: at[backKey] == backExpect -> write(backKey, backNonce)
-	:: else /* a conflict: somebody else wrote it */
+	:: else /* a conflict: another writer was first */
 	fi;
 	backPending = false
 }
@@ -175,7 +175,7 @@
 	fi
 }
 
-/* Log.Since and Log.Differing: learn what a peer has. */
+/* DocumentSet.Since and DocumentSet.Differing: get the documents of a peer. */
 inline exchange(i, from) {
 	k = 0;
 	do
@@ -186,7 +186,7 @@
 	od
 }
 
-/* The end: no more faults, every instance reads all of the store now and then. */
+/* The end: no more faults, and every instance reads the complete store periodically. */
 inline backBoth(i) {
 #ifndef NO_WRITEBACK
 	decideBack(i, 0); if :: backPending -> sendBack() :: else fi;
@@ -205,7 +205,7 @@
 	backBoth(i)
 }
 
-/* Scratch and what no longer counts is cleared, so that it tells no states apart. */
+/* Clears scratch variables and values that no longer matter, to reduce the state space. */
 inline clear() {
 	k = 0; j = 0; r = 0; lost = false; key = 0;
 	if :: !pending -> pendingKey = 0; pendingNonce = 0; pendingExpect = 0 :: else fi;
@@ -220,7 +220,7 @@
 active proctype system() {
 	byte key;
 	do
-	/* apply: a write, with its answer or without */
+	/* an operator applies a document; the response arrives or is lost */
 	:: atomic { writes < WRITES ->
 		if :: key = 0 :: key = 1 fi;
 		clock++; writes++; content[clock] = clock;
@@ -232,7 +232,7 @@
 			:: true -> skip /* not arrived yet */
 			fi
 		fi; clear() }
-	/* Client.Put tries again with the same nonce, and settles a conflict by reading */
+	/* the platform client retries with the same nonce and resolves a conflict by reading */
 	:: atomic { pending ->
 #ifdef BLIND_RETRY
 		write(pendingKey, pendingNonce);
@@ -254,7 +254,7 @@
 	:: atomic { snapped && !restored -> restored = true;
 		revision = snapRevision; generation = snapGeneration; marker = snapMarker;
 		nonce[0] = snapNonce[0]; nonce[1] = snapNonce[1]; at[0] = snapAt[0]; at[1] = snapAt[1]; clear() }
-	/* an instance is replaced; the other has what it had */
+	/* an instance is replaced while the other has all of its documents */
 	:: atomic { force[1].by[0] <= force[0].by[0] && force[1].by[1] <= force[0].by[1] ->
 		force[1].by[0] = 0; force[1].by[1] = 0; rank[1].by[0] = 0; rank[1].by[1] = 0; cursor[1] = 0; seenGeneration[1] = 0 }
 	:: break
@@ -266,7 +266,7 @@
 		key = 0;
 		do
 		:: key < KEYS ->
-			assert(force[0].by[key] == force[1].by[key]); /* in force everywhere */
+			assert(force[0].by[key] == force[1].by[key]); /* in force on all instances */
 			assert(nonce[key] == force[0].by[key]); /* and in the store */
 			assert(restored || force[0].by[key] >= accepted[key]); /* no accepted write is lost */
 			key++
--- a/spec/quotashare.pml
+++ b/spec/quotashare.pml
@@ -1,65 +1,67 @@
 /*
- * Quota parts over a set of instances that only grows (coordination/quotashare).
- * Instances join by writing their name into the store and reading all names, learn
- * of each other in any order, restart and forget. The parts of those that mint must
- * be at most the whole: the set by which each of them divides has all of them, and no part
- * grows with the set (coordination/quotashare: TestPartsNeverGrowWithTheSet).
+ * Shares of a quota over a set of instances that only grows (coordination/quotashare).
+ * Instances join by writing their name to the store and reading all names, get each
+ * other's reports in any order, restart and lose their memory. The shares of the minting
+ * instances must sum up to at most the quota: this holds if the set by which each of them
+ * divides contains all of them, since no share grows with the set (coordination/quotashare:
+ * TestPartsNeverGrowWithTheSet).
  *
- * A set counts as whole when it was read from the store, or when a peer whose set is
- * whole and has the own name tells it: so an instance that restarts while the store is
- * away mints. A peer may not have heard yet of a newcomer whom the restarted instance had
- * counted. So a newcomer needs more than that each other one once went by a set with its
- * name: all have to name the same lifetimes of all. Each says so after it heard the others,
- * so there was a moment at which all of them counted the newcomer in those lifetimes, and
- * every set that is told later has it.
+ * A set is complete if it was read from the store, or was received from a peer whose set
+ * is complete and contains the instance's own name. This lets an instance that restarts
+ * while the store is unreachable mint. Such a peer may not know yet a joining instance
+ * which the restarted instance had counted. So it is not enough for a joining instance
+ * that each other instance once used a set with its name: all have to report the same
+ * incarnations of all. Each reports them after it received the others' reports, so at
+ * some instant all of them counted the joining instance in those incarnations, and every
+ * set that is sent later contains it.
  *
  * Not in the model: loans, rates, time.
  */
 
-// it is enough that each other one has once gone by the same set, whether or not it has
+// it is enough that each other instance has once used the same set, even if it has
 // restarted since:
 // variant: ONE_ROUND
-// a set that a peer has heard in part passes for the whole, too:
+// an incomplete set of a peer also counts as complete:
 // variant: PARTIAL_IS_COMPLETE
-// an instance mints without the word of the others:
+// an instance mints without the reports of the others:
 // variant: NO_ACKS
-// any peer that was heard counts as one that has counted this instance:
+// any peer that sent a report counts as having counted this instance:
 // variant: HEARD_IS_ACK
-// that an instance has minted is written when it joins:
+// the record that an instance has minted is written when it joins:
 // variant: MINTED_AT_JOIN
 
-#ifdef PARTIAL_IS_COMPLETE /* takes one more, that has never reached the store */
+#ifdef PARTIAL_IS_COMPLETE /* needs one more instance, which never reached the store */
 #define INSTANCES 4
 #else
 #define INSTANCES 3
 #endif
 #define RESTARTS 2
-#define OUTSIDER 3 /* only ever hears of others */
+#define OUTSIDER 3 /* only receives reports */
 
 #define bit(i) (1 << (i))
 
 /* The store. */
 byte names;  /* instances that wrote their name */
-byte minted; /* those of which it says that they have minted once */
+byte minted; /* instances recorded as having minted */
 
-/* The instances, which forget all of this when they restart. */
-byte holders[4];    /* the set that it goes by */
-byte life[4];       /* its lifetime, which it does not forget */
-byte acks[INSTANCES];       /* those that it heard to go by the same set */
-byte seen[16];      /* 4 * n + i: the lifetime in which i did so, as n heard it */
-byte agreed[INSTANCES];     /* those that named the same lifetimes of all */
-bool written[INSTANCES];    /* its name, in this life */
+/* The instances, which lose this state when they restart, except for life. */
+byte holders[4];    /* the set by which it divides */
+byte life[4];       /* its incarnation, which survives restarts */
+byte acks[INSTANCES];       /* peers that reported the same set */
+byte seen[16];      /* 4 * n + i: the incarnation in which i did so, as n received it */
+byte agreed[INSTANCES];     /* peers that reported the same incarnations of all */
+bool written[INSTANCES];    /* its name was written in this incarnation */
 bool complete[INSTANCES];
 bool established[INSTANCES];
-bool mints[4]; /* the last one stays false where there are three */
+bool mints[4]; /* with three instances the last one stays false */
 
 byte restarts;
-byte i, j; /* of the present step */
+byte i, j; /* instances of the current step */
 
 #define knows(n) (holders[n] & bit(n))
 #define all(n) (holders[n] & ~bit(n))
 
-/* each of n and p has heard all, itself included, in the same lifetimes */
+/* n and p have reports of all instances, including themselves, of the same incarnations */
 #define of(n, i) (i == n -> life[n] + 1 : seen[4 * n + i])
 #define heardAll(n) ((all(n) & ~acks[n]) == 0)
 #define same(n, p) (heardAll(n) && heardAll(p) && holders[n] == holders[p] && of(n, 0) == of(p, 0) \
@@ -134,7 +136,7 @@
 	:: atomic {
 		select(i : 0 .. INSTANCES - 1);
 		if
-		/* join: write the own name, then read all */
+		/* join: write the instance's own name, then read all names */
 		:: i != OUTSIDER && !written[i] ->
 			names = names | bit(i);
 #ifdef MINTED_AT_JOIN
@@ -142,19 +144,19 @@
 #endif
 			written[i] = true
 		:: written[i] && !complete[i] -> read(i)
-		/* hear from a peer */
+		/* receive a report from a peer */
 		:: select(j : 0 .. INSTANCES - 1);
 			if
 			:: i != j -> exchange(i, j)
 			:: else
 			fi
-		/* begin to mint */
+		/* start to mint */
 		:: !mints[i] && complete[i] && (holders[i] & bit(i)) && (established[i] || counted(i)) ->
 			mints[i] = true;
 			established[i] = true
-		/* the store learns of it, or the write is lost and this step never comes */
+		/* the store records it; if the write is lost, this step never happens */
 		:: mints[i] && !(minted & bit(i)) -> minted = minted | bit(i)
-		/* restart, anywhere in the above */
+		/* restart at any point of the above */
 		:: i != OUTSIDER && restarts < RESTARTS ->
 			restarts++;
 			holders[i] = 0; forgetAcks(i); life[i]++;
--- a/spec/slots.pml
+++ b/spec/slots.pml
@@ -1,16 +1,16 @@
 /*
  * One quota slot: at most one member mints for it at any instant.
  *
- * Members 0 to 2 begin in the domain, 0 holding the slot; member 3 is a newcomer
- * that no list names. Everything is asynchronous: a member that takes no step is
- * paused, a message that is not delivered is lost or cut off, and a write may take
- * effect at any later time while its answer is lost.
+ * Members 0 to 2 start in the domain, and 0 holds the slot; member 3 joins later and is
+ * in no list. Everything is asynchronous: a member that takes no step is paused, a
+ * message that is not delivered is lost or partitioned off, and a write may take effect
+ * at any later time while its response is lost.
  *
- * Times are abstract. A lease or a promise ends at any moment, but on the clock of
- * the one who relies on it before that of the one who waits for it: that is what
- * slots.WithDrift and counting from the ask are for (variant DRIFT_IGNORED).
- * The lapse, after which anyone may take the slot, is left out: the holder has
- * stopped before it on its own clock.
+ * Times are abstract. A lease or a promise ends at any time, but on the clock of the
+ * member that relies on it before it ends on the clock of the member that waits for it:
+ * slots.WithDrift, and counting from the time of the request, ensure this (variant
+ * DRIFT_IGNORED). The slot's expiry, after which any member may take it, is not
+ * modelled: the holder has stopped minting before it on its own clock.
  */
 // variant: CONSENTS_NOT_OF_WHOLE_LIST
 // variant: NEWCOMER_TAKES
@@ -26,27 +26,27 @@
 #define IN(list, k) (((list) >> (k)) & 1)
 #define SIZE(list) (((list) & 1) + (((list) >> 1) & 1) + (((list) >> 2) & 1) + (((list) >> 3) & 1))
 
-/* The store: the record that stands. */
+/* The store: the current record. */
 byte version = 1;
 byte owner = 0;
 byte list = 6; /* members 1 and 2 */
 
-/* As holder: slot.held and slot.pending. */
+/* State of the holder. */
 byte held[N];        /* acknowledged version; 0 for none */
 byte heldList[N];
-byte pending[N];     /* version of a write whose outcome is open; 0 for none */
+byte pending[N];     /* version of a write with unknown outcome; 0 for none */
 byte pendingList[N];
-bool lease[N];       /* the lease of the acknowledged version runs */
-bool asked[N];       /* the lease would run, had the open write been acknowledged */
-byte promises[N];    /* fresh promises for the acknowledged version */
-byte newPromises[N]; /* fresh promises for the open one */
+bool lease[N];       /* the lease of the acknowledged version is valid */
+bool asked[N];       /* the lease would be valid if the pending write had been acknowledged */
+byte promises[N];    /* valid promises for the acknowledged version */
+byte newPromises[N]; /* valid promises for the pending version */
 
-/* As granter: granted. */
+/* State of a member that grants promises and consents. */
 bool promised[N];
 byte consented[N];
 bool dead[N];
 
-/* As taker. */
+/* State of a member that takes the slot. */
 byte consents[N];
 byte consentsFor[N];
 
@@ -55,7 +55,7 @@
 byte newList;
 byte crashes;
 
-#define SOLO (k == m) /* a step of one member alone */
+#define SOLO (k == m) /* a step of a single member */
 #define NEEDED(l) ((SIZE(l) < H) -> SIZE(l) : H)
 #define ENOUGH(p, l) (SIZE((p) & (l)) >= NEEDED(l))
 #ifdef LOST_LIST_IGNORED
@@ -64,7 +64,7 @@
 #define PROMISED(x) (ENOUGH(promises[x], heldList[x]) && \
 	(pending[x] == 0 || ENOUGH(newPromises[x], pendingList[x])))
 #endif
-/* slot.mintsUntil */
+/* the holder may mint: slot.mintDeadline */
 #define MINTS(x) (!dead[x] && held[x] != 0 && (lease[x] || PROMISED(x)))
 
 #ifdef CONSENTS_NOT_OF_WHOLE_LIST
@@ -134,26 +134,27 @@
 		pickMember(m);
 		pickMember(k);
 		if
-		/* Machine.stepHolder: a renewal is sent, the slot's only open write. */
+		/* Machine.stepHolder: a renewal is sent; a slot has one pending write at most. */
 		:: SOLO && !dead[m] && held[m] != 0 && pending[m] == 0 && held[m] < MAXVERSION ->
 			pickList(m);
 			pending[m] = held[m] + 1; pendingList[m] = newList; asked[m] = true
-		/* The open write takes effect, its answer still under way or lost. A dead
-		 * sender's may, too. */
+		/* The pending write takes effect; its response is in flight or lost. The sender
+		 * may have crashed. */
 		:: SOLO && pending[m] != 0 && version + 1 == pending[m] -> takesEffect(m)
-		/* slot.settle and slot.accept: answered or read back. The lease counts
-		 * from the first try. */
+		/* slot.reconcile and slot.accept: acknowledged or read back. The lease starts
+		 * with the first attempt. */
 		:: SOLO && !dead[m] && pending[m] != 0 && version == pending[m] && owner == m ->
 			held[m] = pending[m]; heldList[m] = pendingList[m];
 			promises[m] = newPromises[m]; newPromises[m] = 0;
 			lease[m] = lease[m] || asked[m];
 			pending[m] = 0; pendingList[m] = 0; asked[m] = false
-		/* slot.lose: another's version is read. */
+		/* slot.drop: a version of another member is read. */
 		:: SOLO && held[m] != 0 && version > held[m] && owner != m -> forget(m)
 		/* The holder's lease ends on its own clock. */
 		:: SOLO && lease[m] -> lease[m] = false
 		:: SOLO && asked[m] && !lease[m] -> asked[m] = false
-		/* Machine.askPromises, granted.promise, Machine.Promised; or the answer is lost. */
+		/* Machine.requestPromises, commitment.promise and Machine.RecordPromise; or the
+		 * response is lost. */
 		:: !dead[m] && !dead[k] && held[m] != 0 && IN(heldList[m], k) && consented[k] < held[m] ->
 			promised[k] = true;
 			if
@@ -166,13 +167,13 @@
 			:: newPromises[m] = newPromises[m] | BIT(k)
 			:: skip
 			fi
-		/* A promise ends for the holder, */
+		/* A promise ends for the holder first, */
 		:: IN(promises[m] | newPromises[m], k) ->
 			promises[m] = promises[m] & ~BIT(k); newPromises[m] = newPromises[m] & ~BIT(k)
-		/* and only then for the one who gave it. */
+		/* and only then for the member that gave it. */
 		:: SOLO && promised[k] && !RELIED_ON(k) -> promised[k] = false
-		/* Machine.stepOther, granted.consent, Machine.Consented: after the holder's
-		 * lease a member asks another, or itself, for consent. */
+		/* Machine.stepOther, commitment.consent and Machine.RecordConsent: after the
+		 * holder's lease a member requests consent from another member or itself. */
 		:: !dead[m] && !dead[k] && owner != m && MAYTAKE(m) && MAYCONSENT(k) &&
 			!lease[owner] && !asked[owner] && !promised[k] && held[k] != version ->
 			consented[k] = (consented[k] > version -> consented[k] : version);
@@ -186,8 +187,8 @@
 			held[m] = version; heldList[m] = newList; lease[m] = true; asked[m] = false;
 			pending[m] = 0; pendingList[m] = 0; promises[m] = 0; newPromises[m] = 0;
 			consents[m] = 0; consentsFor[m] = 0
-		/* A crash. The restarted instance is another member, in no list; with the
-		 * name kept it goes on without its memory. */
+		/* A crash. A restarted instance is a new member in no list; in the variant
+		 * RESTART_KEEPS_NAME it keeps its name and loses its memory. */
 		:: SOLO && !dead[m] && crashes < 1 ->
 			crashes++;
 #ifdef RESTART_KEEPS_NAME
