--- a/spec/check.sh
+++ b/spec/check.sh
@@ -34,7 +34,7 @@
 	-:0) echo "$model: holds ($stored)" ;;
 	-:*) echo "$model: VIOLATED"; return 1 ;;
 	*:0) echo "$model: variant $variant was NOT refuted"; return 1 ;;
-	*) echo "$model: variant $variant refuted, as it has to be ($stored)" ;;
+	*) echo "$model: variant $variant refuted, as expected ($stored)" ;;
 	esac
 }
 export -f search
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -19,18 +19,18 @@
 // variant: RETRACT_UNKNOWN
 // variant: TAKE_OVER
 
-#define COMERS 3
-#define NOBODY 0 /* nonces are 1 to COMERS */
+#define SENDERS 3
+#define NO_CLAIM 0 /* nonces are 1 to SENDERS */
 
 mtype = { ok, conflict }
 
-byte claim = NOBODY; /* nonce of the claim stored under the key */
+byte claim = NO_CLAIM; /* nonce of the claim stored under the key */
 byte runs = 0;       /* how often a backend server ran the request */
 
 /* Messages in flight to the store, by sender. They may be reordered. */
-bool creating[COMERS + 1];
-bool removing[COMERS + 1];
-chan answer[COMERS + 1] = [1] of { mtype };
+bool creating[SENDERS + 1];
+bool removing[SENDERS + 1];
+chan answer[SENDERS + 1] = [1] of { mtype };
 
 inline applyCreate(sender)
 {
@@ -40,7 +40,7 @@
 	answer[sender]!ok
 #else
 	if
-	:: claim == NOBODY -> claim = sender; answer[sender]!ok
+	:: claim == NO_CLAIM -> claim = sender; answer[sender]!ok
 	:: else -> answer[sender]!conflict
 	fi
 #endif
@@ -50,10 +50,10 @@
 {
 	removing[sender] = false;
 #ifdef RETRACT_ANY
-	claim = NOBODY
+	claim = NO_CLAIM
 #else
 	if
-	:: claim == sender -> claim = NOBODY
+	:: claim == sender -> claim = NO_CLAIM
 	:: else
 	fi
 #endif
@@ -77,7 +77,7 @@
 }
 
 /* One request: package transport/dispatch with the claims of package transport/claim. */
-proctype Comer(byte me)
+proctype Sender(byte me)
 {
 	bool dispatched = false;
 	bool notRun = false; /* the caller gets run state not_run */
@@ -138,7 +138,7 @@
 	:: claim == me -> removing[me] = true
 	:: goto done
 #ifdef RETRACT_ANY
-	:: claim != NOBODY -> removing[me] = true
+	:: claim != NO_CLAIM -> removing[me] = true
 #endif
 	od;
 
@@ -148,8 +148,8 @@
 
 init {
 	atomic {
-		run Comer(1);
-		run Comer(2);
-		run Comer(3)
+		run Sender(1);
+		run Sender(2);
+		run Sender(3)
 	}
 }
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -38,7 +38,7 @@
 bool snapped, restored;
 
 /* The instances: the write in force, its rank, the cursor and its generation. */
-Row force[INSTANCES], rank[INSTANCES];
+Row inForce[INSTANCES], rank[INSTANCES];
 byte cursor[INSTANCES], seenGeneration[INSTANCES];
 
 byte clock, writes; /* of the writers, which share one clock in this model */
@@ -77,25 +77,25 @@
 #ifdef OBEY_STORE
 	:: n > 0 ->
 #else
-	:: n >= force[i].by[key] ->
+	:: n >= inForce[i].by[key] ->
 #endif
 #endif
-		assert(content[n] >= content[force[i].by[key]]); /* never reverts */
-		force[i].by[key] = n;
+		assert(content[n] >= content[inForce[i].by[key]]); /* never reverts */
+		inForce[i].by[key] = n;
 		if :: newRank > rank[i].by[key] -> rank[i].by[key] = newRank :: else fi
 	:: else
 	fi
 }
 
 /* The instance's store watch: compares the store with the newest document in force. */
-inline findLost(i) {
+inline checkRestored(i) {
 	lost = false;
 	j = 0;
 	if :: rank[i].by[1] > rank[i].by[0] -> j = 1 :: else fi;
 	storeRank(j);
 	if
-	:: nonce[j] < force[i].by[j] -> lost = true
-	:: nonce[j] >= force[i].by[j] && r < rank[i].by[j] && rank[i].by[j] / GENERATION >= generation -> lost = true
+	:: nonce[j] < inForce[i].by[j] -> lost = true
+	:: nonce[j] >= inForce[i].by[j] && r < rank[i].by[j] && rank[i].by[j] / GENERATION >= generation -> lost = true
 	:: else
 	fi
 }
@@ -143,12 +143,12 @@
 /* The repair decides to write a document back; the write is sent later, by compare-and-swap. */
 inline decideBack(i, key) {
 	if
-	:: !backPending && nonce[key] < force[i].by[key] && clock < NONCES - 1 ->
+	:: !backPending && nonce[key] < inForce[i].by[key] && clock < NONCES - 1 ->
 		backPending = true; backKey = key; backExpect = at[key];
 #ifdef NEW_NONCE
-		clock++; backNonce = clock; content[clock] = content[force[i].by[key]]
+		clock++; backNonce = clock; content[clock] = content[inForce[i].by[key]]
 #else
-		backNonce = force[i].by[key]
+		backNonce = inForce[i].by[key]
 #endif
 	:: else
 	fi
@@ -164,7 +164,7 @@
 
 inline watch(i) {
 	begin(i);
-	findLost(i);
+	checkRestored(i);
 	if
 	:: lost ->
 		openGeneration(i);
@@ -180,14 +180,14 @@
 	k = 0;
 	do
 	:: k < KEYS -> 
-		if :: force[from].by[k] > 0 -> accept(i, k, force[from].by[k], rank[from].by[k]) :: else fi;
+		if :: inForce[from].by[k] > 0 -> accept(i, k, inForce[from].by[k], rank[from].by[k]) :: else fi;
 		k++
 	:: else -> break
 	od
 }
 
 /* The end: no more faults, and every instance reads the complete store periodically. */
-inline backBoth(i) {
+inline writeBackBoth(i) {
 #ifndef NO_WRITEBACK
 	decideBack(i, 0); if :: backPending -> sendBack() :: else fi;
 	decideBack(i, 1); if :: backPending -> sendBack() :: else fi
@@ -195,14 +195,14 @@
 	skip
 }
 
-inline quiet(i) {
+inline settleInstance(i) {
 	begin(i);
 #ifndef NO_WHOLE
 	cursor[i] = 0;
 #endif
-	findLost(i);
+	checkRestored(i);
 	if :: lost -> openGeneration(i) :: else -> take(i) fi;
-	backBoth(i)
+	writeBackBoth(i)
 }
 
 /* Clears scratch variables and values that no longer matter, to reduce the state space. */
@@ -255,20 +255,20 @@
 		revision = snapRevision; generation = snapGeneration; marker = snapMarker;
 		nonce[0] = snapNonce[0]; nonce[1] = snapNonce[1]; at[0] = snapAt[0]; at[1] = snapAt[1]; clear() }
 	/* an instance is replaced while the other has all of its documents */
-	:: atomic { force[1].by[0] <= force[0].by[0] && force[1].by[1] <= force[0].by[1] ->
-		force[1].by[0] = 0; force[1].by[1] = 0; rank[1].by[0] = 0; rank[1].by[1] = 0; cursor[1] = 0; seenGeneration[1] = 0 }
+	:: atomic { inForce[1].by[0] <= inForce[0].by[0] && inForce[1].by[1] <= inForce[0].by[1] ->
+		inForce[1].by[0] = 0; inForce[1].by[1] = 0; rank[1].by[0] = 0; rank[1].by[1] = 0; cursor[1] = 0; seenGeneration[1] = 0 }
 	:: break
 	od;
 	atomic {
 		pending = false; backPending = false;
-		quiet(0); quiet(1); exchange(0, 1); exchange(1, 0);
-		quiet(0); quiet(1); quiet(0); quiet(1); exchange(0, 1); exchange(1, 0);
+		settleInstance(0); settleInstance(1); exchange(0, 1); exchange(1, 0);
+		settleInstance(0); settleInstance(1); settleInstance(0); settleInstance(1); exchange(0, 1); exchange(1, 0);
 		key = 0;
 		do
 		:: key < KEYS ->
-			assert(force[0].by[key] == force[1].by[key]); /* in force on all instances */
-			assert(nonce[key] == force[0].by[key]); /* and in the store */
-			assert(restored || force[0].by[key] >= accepted[key]); /* no accepted write is lost */
+			assert(inForce[0].by[key] == inForce[1].by[key]); /* in force on all instances */
+			assert(nonce[key] == inForce[0].by[key]); /* and in the store */
+			assert(restored || inForce[0].by[key] >= accepted[key]); /* no accepted write is lost */
 			key++
 		:: else -> break
 		od
--- a/spec/quotashare.pml
+++ b/spec/quotashare.pml
@@ -44,9 +44,9 @@
 byte names;  /* instances that wrote their name */
 byte minted; /* instances recorded as having minted */
 
-/* The instances, which lose this state when they restart, except for life. */
+/* The instances, which lose this state when they restart, except for the incarnation. */
 byte holders[4];    /* the set by which it divides */
-byte life[4];       /* its incarnation, which survives restarts */
+byte incarnation[4]; /* number of its incarnation, which survives restarts */
 byte acks[INSTANCES];       /* peers that reported the same set */
 byte seen[16];      /* 4 * n + i: the incarnation in which i did so, as n received it */
 byte agreed[INSTANCES];     /* peers that reported the same incarnations of all */
@@ -62,17 +62,17 @@
 #define all(n) (holders[n] & ~bit(n))
 
 /* n and p have reports of all instances, including themselves, of the same incarnations */
-#define of(n, i) (i == n -> life[n] + 1 : seen[4 * n + i])
-#define heardAll(n) ((all(n) & ~acks[n]) == 0)
-#define same(n, p) (heardAll(n) && heardAll(p) && holders[n] == holders[p] && of(n, 0) == of(p, 0) \
-	&& of(n, 1) == of(p, 1) && of(n, 2) == of(p, 2) && of(n, 3) == of(p, 3))
+#define seenIncarnation(n, i) (i == n -> incarnation[n] + 1 : seen[4 * n + i])
+#define hasAllReports(n) ((all(n) & ~acks[n]) == 0)
+#define same(n, p) (hasAllReports(n) && hasAllReports(p) && holders[n] == holders[p] && seenIncarnation(n, 0) == seenIncarnation(p, 0) \
+	&& seenIncarnation(n, 1) == seenIncarnation(p, 1) && seenIncarnation(n, 2) == seenIncarnation(p, 2) && seenIncarnation(n, 3) == seenIncarnation(p, 3))
 
 inline forgetAcks(n) {
 	acks[n] = 0; agreed[n] = 0;
 	seen[4 * n] = 0; seen[4 * n + 1] = 0; seen[4 * n + 2] = 0; seen[4 * n + 3] = 0
 }
 
-inline goBy(n, set) {
+inline useSet(n, set) {
 	if
 	:: ((set) & ~holders[n]) != 0 -> holders[n] = holders[n] | (set); forgetAcks(n)
 	:: else
@@ -84,7 +84,7 @@
 	:: minted & bit(n) -> established[n] = true
 	:: else
 	fi;
-	goBy(n, names);
+	useSet(n, names);
 	complete[n] = (holders[n] & bit(n)) != 0
 }
 
@@ -95,8 +95,8 @@
 	   || true
 #endif
 	   || complete[peer]
-	   ) -> goBy(n, holders[peer]); complete[n] = true
-	:: else -> goBy(n, holders[peer])
+	   ) -> useSet(n, holders[peer]); complete[n] = true
+	:: else -> useSet(n, holders[peer])
 	fi;
 	if
 #ifdef HEARD_IS_ACK
@@ -105,11 +105,11 @@
 	:: knows(n) && holders[n] == holders[peer] ->
 #endif
 		if
-		:: seen[4 * n + peer] != life[peer] + 1 -> agreed[n] = 0
+		:: seen[4 * n + peer] != incarnation[peer] + 1 -> agreed[n] = 0
 		:: else
 		fi;
 		acks[n] = acks[n] | bit(peer);
-		seen[4 * n + peer] = life[peer] + 1;
+		seen[4 * n + peer] = incarnation[peer] + 1;
 		if
 		:: same(n, peer) -> agreed[n] = agreed[n] | bit(peer)
 		:: else -> agreed[n] = agreed[n] & ~bit(peer)
@@ -122,14 +122,14 @@
 #define counted(n) true
 #else
 #if defined(ONE_ROUND) || defined(HEARD_IS_ACK)
-#define counted(n) heardAll(n)
+#define counted(n) hasAllReports(n)
 #else
 #define counted(n) ((all(n) & ~agreed[n]) == 0)
 #endif
 #endif
 
 #define minting (mints[0] + 2 * mints[1] + 4 * mints[2] + 8 * mints[3])
-#define within(n) (!mints[n] || (minting & ~holders[n]) == 0)
+#define setCoversMinting(n) (!mints[n] || (minting & ~holders[n]) == 0)
 
 active proctype world() {
 	do
@@ -159,12 +159,12 @@
 		/* restart at any point of the above */
 		:: i != OUTSIDER && restarts < RESTARTS ->
 			restarts++;
-			holders[i] = 0; forgetAcks(i); life[i]++;
+			holders[i] = 0; forgetAcks(i); incarnation[i]++;
 			written[i] = false; complete[i] = false; established[i] = false; mints[i] = false
 		:: else
 		fi;
 		i = 0; j = 0;
-		assert(within(0) && within(1) && within(2) && within(3))
+		assert(setCoversMinting(0) && setCoversMinting(1) && setCoversMinting(2) && setCoversMinting(3))
 	}
 	od
 }
