--- a/yamldoc/decode.go
+++ b/yamldoc/decode.go
@@ -110,7 +110,7 @@
 	case node.Type() == ast.NullType:
 		return
 	case node.Type() == ast.AliasType:
-		r.addUndecodable(positionOf(node.GetToken()), path, "aliases are not taken: write the value out")
+		r.addUndecodable(positionOf(node.GetToken()), path, "aliases are not supported, write the value out")
 	case v.Type() == durationType:
 		r.decodeDuration(node, v, path)
 	case reflect.PointerTo(v.Type()).Implements(unmarshalerType):
