--- a/cmd/basilroute/explain_test.go
+++ b/cmd/basilroute/explain_test.go
@@ -9,7 +9,7 @@
 // collector. The trace is in order of the steps' times, also where a line was written
 // later than the step that it describes.
 func TestExplainRecordedLines(t *testing.T) {
-	out, problems, code := runCLI(t, "explain", "c11716742e54bcdd", "testdata/story.log")
+	out, problems, code := runCLI(t, "explain", "c11716742e54bcdd", "testdata/trace.log")
 	if code != 0 {
 		t.Fatal(problems)
 	}
@@ -24,7 +24,7 @@
 	if !strings.Contains(out, "reason=overloaded") || !strings.Contains(out, "heard_ms_ago=577") {
 		t.Errorf("the inputs of the decisions are missing:\n%s", out)
 	}
-	if _, _, code := runCLI(t, "explain", "0000", "testdata/story.log"); code != exitFailed {
+	if _, _, code := runCLI(t, "explain", "0000", "testdata/trace.log"); code != exitFailed {
 		t.Errorf("a request that no line names: exit code %d", code)
 	}
 }
--- a/cmd/basilroute/load.go
+++ b/cmd/basilroute/load.go
@@ -23,7 +23,7 @@
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "url", Usage: "URL of an instance for callers; may be given more than once"},
 			&cli.StringFlag{Name: "demo", Usage: "run recall-desk or guild in this process"},
-			&cli.BoolFlag{Name: "overhead", Usage: "compare with calls straight to the engine"},
+			&cli.BoolFlag{Name: "overhead", Usage: "compare with direct calls to the engine"},
 			&cli.Int64Flag{Name: "seed", Usage: "overrides the mix's seed"},
 			&cli.FloatFlag{Name: "rate", Usage: "overrides the mix's requests per second"},
 			&cli.DurationFlag{Name: "duration", Usage: "overrides the mix's duration"},
--- a/cmd/basilroute/losses.go
+++ b/cmd/basilroute/losses.go
@@ -56,9 +56,9 @@
 		byRequest[l.Request] = append(byRequest[l.Request], l)
 	}
 	var out []loss
-	for _, story := range byRequest {
-		slices.SortStableFunc(story, func(a, b logLine) int { return a.Time.Compare(b.Time) })
-		if l, lost := classifyLoss(story); lost {
+	for _, trace := range byRequest {
+		slices.SortStableFunc(trace, func(a, b logLine) int { return a.Time.Compare(b.Time) })
+		if l, lost := classifyLoss(trace); lost {
 			out = append(out, l)
 		}
 	}
@@ -68,11 +68,11 @@
 
 // classifyLoss returns how a request was lost, and false if it was served in time. The trace
 // is in order of time.
-func classifyLoss(story []logLine) (loss, bool) {
-	l := loss{at: story[0].Time, route: "-"}
+func classifyLoss(trace []logLine) (loss, bool) {
+	l := loss{at: trace[0].Time, route: "-"}
 	var objective, gap float64
-	for i := range story {
-		line := &story[i]
+	for i := range trace {
+		line := &trace[i]
 		switch line.Event {
 		case "request_admitted":
 			l.route, objective, gap = line.text("route"), line.number("objective_ms"), line.number("gap_ms")
@@ -82,7 +82,7 @@
 			l.server = line.text("region")
 		}
 	}
-	end := &story[len(story)-1]
+	end := &trace[len(trace)-1]
 	switch end.Event {
 	case "request_served":
 		l.server = cmp.Or(end.text("server"), l.server)
@@ -106,7 +106,7 @@
 	return ""
 }
 
-// printLosses writes a table by route, by moment and by server.
+// printLosses writes tables by route, by time window and by server.
 func printLosses(out io.Writer, all []loss, window time.Duration) error {
 	for _, by := range []struct {
 		title string
--- a/cmd/basilroute/operator.go
+++ b/cmd/basilroute/operator.go
@@ -99,9 +99,9 @@
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "INSTANCE\tREGION\tDOMAIN\tSTATE\tCONFIGURATION\tREJECTED\tHEARD")
 	for _, i := range status.Instances {
-		heard := time.Duration(i.AgeMs) * time.Millisecond
+		lastContact := time.Duration(i.AgeMs) * time.Millisecond
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s ago\n", i.ID, i.Region, i.Domain, i.State,
-			configwatch.FormatRank(i.ConfigRevision), cmp.Or(strings.Join(i.Rejected, " "), "-"), heard)
+			configwatch.FormatRank(i.ConfigRevision), cmp.Or(strings.Join(i.Rejected, " "), "-"), lastContact)
 	}
 	return table.Flush()
 }
