--- a/capacity/table.go
+++ b/capacity/table.go
@@ -34,8 +34,8 @@
 func findTarget(benchmark string, targets []Target) (Target, bool) {
 	name := strings.ToLower(benchmark)
 	for _, t := range targets {
-		for _, word := range t.Keywords {
-			if strings.Contains(name, word) {
+		for _, keyword := range t.Keywords {
+			if strings.Contains(name, keyword) {
 				return t, true
 			}
 		}
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -257,7 +257,7 @@
 	return http.DefaultClient.Do(req)
 }
 
-// post sends a request and returns the status and the whole answer.
+// post sends a request and returns the status and the body of the response.
 func (f *fleet) post(m *member, key, path, body string) (int, string) {
 	resp, err := call(f.t.Context(), m.callers(), key, path, body)
 	if err != nil {
--- a/experiment/policy_sim.go
+++ b/experiment/policy_sim.go
@@ -173,16 +173,16 @@
 	if mean <= 0 {
 		return
 	}
-	peak := mean * (1 + peakAmplitude)
+	maxRate := mean * (1 + peakAmplitude)
 	var next func()
 	next = func() {
 		phase := 2 * math.Pi * (float64(s.now)/float64(dayLength) + float64(region)/float64(len(s.regions)))
 		if s.rng.Float64()*(1+peakAmplitude) < 1+peakAmplitude*math.Sin(phase) {
 			s.arrive(region, a, class)
 		}
-		s.after(time.Duration(s.rng.ExpFloat64()/peak*float64(time.Second)), next)
+		s.after(time.Duration(s.rng.ExpFloat64()/maxRate*float64(time.Second)), next)
 	}
-	s.after(time.Duration(s.rng.ExpFloat64()/peak*float64(time.Second)), next)
+	s.after(time.Duration(s.rng.ExpFloat64()/maxRate*float64(time.Second)), next)
 }
 
 func (s *policySim) arrive(region int, a *simAccount, class service.Class) {
--- a/protocol/refusal/refusal.go
+++ b/protocol/refusal/refusal.go
@@ -101,7 +101,7 @@
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Run: NotRun}
 }
 
-// After returns a copy that tells the caller to retry after d.
+// After returns a copy with RetryAfter set to d.
 func (r *Refusal) After(d time.Duration) *Refusal {
 	next := *r
 	next.RetryAfter = d
