--- a/loadgen/response.go
+++ b/loadgen/response.go
@@ -16,18 +16,18 @@
 // responseChecker compares a response with the tokens that the engine stand-in generates
 // for a prompt.
 type responseChecker struct {
-	mark      engine.PromptHash
+	promptHash      engine.PromptHash
 	nextToken int
 	mismatch  bool
 }
 
 func newResponseChecker(prompt string) *responseChecker {
-	return &responseChecker{mark: engine.HashPrompt(prompt)}
+	return &responseChecker{promptHash: engine.HashPrompt(prompt)}
 }
 
 func (c *responseChecker) add(text string) {
 	for len(text) > 0 {
-		want := c.mark.Token(c.nextToken)
+		want := c.promptHash.Token(c.nextToken)
 		rest, ok := strings.CutPrefix(text, want)
 		if !ok {
 			c.mismatch = true
