--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -231,7 +231,7 @@
 // in time.
 func (q *Queue) refuse(t *Ticket, retryAfter time.Duration) {
 	t.Refusal = refusal.New(refusal.CodeOverloaded, "the queue of the service is too long for this request").
-		After(max(retryAfter, minRetryAfter))
+		WithRetryAfter(max(retryAfter, minRetryAfter))
 	t.settle()
 }
 
--- a/coordination/admission/queue_test.go
+++ b/coordination/admission/queue_test.go
@@ -87,7 +87,7 @@
 	if refused.Refusal == nil {
 		t.Fatal("a request with 40 ahead of it and a limit of 200 ms was queued")
 	}
-	if refused.Refusal.Run != refusal.NotRun || refused.Refusal.Code != refusal.CodeOverloaded {
+	if refused.Refusal.RunState != refusal.NotRun || refused.Refusal.Code != refusal.CodeOverloaded {
 		t.Errorf("refused with %v", refused.Refusal)
 	}
 	h.advance(refused.Refusal.RetryAfter)
@@ -139,7 +139,7 @@
 	if small.Refusal != nil {
 		t.Errorf("the small account was refused: %v", small.Refusal)
 	}
-	if last.Refusal == nil || last.Refusal.Run != refusal.NotRun {
+	if last.Refusal == nil || last.Refusal.RunState != refusal.NotRun {
 		t.Errorf("the newest request of the heavy account was not refused")
 	}
 	if more := h.submit("heavy", service.ClassInteractive, time.Hour); more.Refusal == nil {
--- a/coordination/once/claim.go
+++ b/coordination/once/claim.go
@@ -55,10 +55,10 @@
 
 // DuplicateRefusal returns the refusal of a request whose key already has a claim. run
 // is the run state that this instance remembers for that claim.
-func DuplicateRefusal(found Claim, hash string, run refusal.Run) *refusal.Refusal {
+func DuplicateRefusal(found Claim, hash string, run refusal.RunState) *refusal.Refusal {
 	if found.Hash != hash {
 		return refusal.New(refusal.CodeInvalid, "the Idempotency-Key was used for another request")
 	}
 	at := time.UnixMilli(found.AtUnixMs).UTC().Format(time.RFC3339)
-	return refusal.New(refusal.CodeConflict, "claimed at %s by request %s on instance %s", at, found.RequestID, found.Instance).WithRun(run)
+	return refusal.New(refusal.CodeConflict, "claimed at %s by request %s on instance %s", at, found.RequestID, found.Instance).WithRunState(run)
 }
--- a/coordination/once/key.go
+++ b/coordination/once/key.go
@@ -55,10 +55,10 @@
 	}
 	age := now.Sub(created(id))
 	if age > MaxKeyAge {
-		return Key{}, refusal.New(refusal.CodeInvalid, "the Idempotency-Key is older than %s", MaxKeyAge).WithRun(refusal.Unknown)
+		return Key{}, refusal.New(refusal.CodeInvalid, "the Idempotency-Key is older than %s", MaxKeyAge).WithRunState(refusal.RunUnknown)
 	}
 	if age < -MaxAhead {
-		return Key{}, refusal.New(refusal.CodeInvalid, "the Idempotency-Key is from the future").WithRun(refusal.Unknown)
+		return Key{}, refusal.New(refusal.CodeInvalid, "the Idempotency-Key is from the future").WithRunState(refusal.RunUnknown)
 	}
 	return Key{id}, nil
 }
--- a/coordination/once/outcomes.go
+++ b/coordination/once/outcomes.go
@@ -22,7 +22,7 @@
 
 type outcomeShard struct {
 	mu    sync.Mutex
-	runs  map[string]refusal.Run // by nonce
+	runs  map[string]refusal.RunState // by nonce
 	order []string
 	next  int
 }
@@ -31,7 +31,7 @@
 func NewOutcomes() *Outcomes {
 	o := &Outcomes{}
 	for i := range o.shards {
-		o.shards[i].runs = make(map[string]refusal.Run)
+		o.shards[i].runs = make(map[string]refusal.RunState)
 	}
 	return o
 }
@@ -41,7 +41,7 @@
 }
 
 // Set stores the run state of the claim with the nonce.
-func (o *Outcomes) Set(nonce string, run refusal.Run) {
+func (o *Outcomes) Set(nonce string, run refusal.RunState) {
 	s := o.shard(nonce)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,12 +63,12 @@
 }
 
 // Run returns the run state of the claim with the nonce; unknown when it is not cached.
-func (o *Outcomes) Run(nonce string) refusal.Run {
+func (o *Outcomes) Run(nonce string) refusal.RunState {
 	s := o.shard(nonce)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if run, ok := s.runs[nonce]; ok {
 		return run
 	}
-	return refusal.Unknown
+	return refusal.RunUnknown
 }
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -63,7 +63,7 @@
 	default:
 		return false
 	}
-	return r.Run == refusal.NotRun || (repeatable && r.Run == refusal.Unknown)
+	return r.RunState == refusal.NotRun || (repeatable && r.RunState == refusal.RunUnknown)
 }
 
 // reachedBackend reports whether the refused attempt may have reached a backend server.
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -41,7 +41,7 @@
 	if _, ok := budget.Take(svc, refusal.CodeOverloaded, 1, 0, rng); ok {
 		t.Error("an attempt after the deadline was allowed")
 	}
-	unknown := refusal.New(refusal.CodeBackendFailed, "").WithRun(refusal.Unknown)
+	unknown := refusal.New(refusal.CodeBackendFailed, "").WithRunState(refusal.RunUnknown)
 	for _, c := range []struct {
 		refused    *refusal.Refusal
 		repeatable bool
@@ -49,8 +49,8 @@
 	}{
 		{unknown, false, false},
 		{unknown, true, true},
-		{unknown.WithRun(refusal.NotRun), false, true},
-		{unknown.WithRun(refusal.Ran), true, false},
+		{unknown.WithRunState(refusal.NotRun), false, true},
+		{unknown.WithRunState(refusal.Ran), true, false},
 		{refusal.New(refusal.CodeQuarantined, ""), true, false},
 		{refusal.New(refusal.CodeRateLimited, ""), true, false},
 	} {
--- a/coordination/via/via_test.go
+++ b/coordination/via/via_test.go
@@ -24,7 +24,7 @@
 				t.Fatalf("%s after %v: %v", service, seen, refused)
 			}
 			if refused != nil {
-				if refused.Code != refusal.CodeLoop || refused.Run != refusal.NotRun {
+				if refused.Code != refusal.CodeLoop || refused.RunState != refusal.NotRun {
 					t.Fatalf("refused with %v", refused)
 				}
 				continue
@@ -46,7 +46,7 @@
 		"changed": "x" + payload[1:] + separator + signature, "long": strings.Repeat("a", MaxBytes+1),
 	} {
 		_, refused := own.Extend(forged, "root", "b")
-		if refused == nil || refused.Code != refusal.CodeForbidden || refused.Run != refusal.NotRun {
+		if refused == nil || refused.Code != refusal.CodeForbidden || refused.RunState != refusal.NotRun {
 			t.Errorf("%s: %v", name, refused)
 		}
 	}
--- a/instance/forwarded.go
+++ b/instance/forwarded.go
@@ -37,7 +37,7 @@
 		case <-deadline:
 			return refusal.New(refusal.CodePeerUnreachable, "the peer does not have the configuration yet")
 		case <-ctx.Done():
-			return refusal.From(context.Cause(ctx)).WithRun(refusal.NotRun)
+			return refusal.FromError(context.Cause(ctx)).WithRunState(refusal.NotRun)
 		}
 	}
 }
--- a/instance/ready_test.go
+++ b/instance/ready_test.go
@@ -107,12 +107,12 @@
 	i := newTestInstance(t)
 	ctx, request, _ := i.forwarded.Begin(t.Context(), "k")
 	defer i.forwarded.End(request)
-	broken := refusal.New(refusal.CodeBackendFailed, "the stream broke").WithRun(refusal.Unknown)
-	if got := refusal.From(cancelReasonOr(ctx, broken)); got.Code != refusal.CodeBackendFailed {
+	broken := refusal.New(refusal.CodeBackendFailed, "the stream broke").WithRunState(refusal.RunUnknown)
+	if got := refusal.FromError(cancelReasonOr(ctx, broken)); got.Code != refusal.CodeBackendFailed {
 		t.Errorf("before the withdrawal: %v", got)
 	}
 	i.config.Withdraw("k", "")
-	if got := refusal.From(cancelReasonOr(ctx, broken)); got.Code != refusal.CodeWithdrawn || got.Run != refusal.Unknown {
+	if got := refusal.FromError(cancelReasonOr(ctx, broken)); got.Code != refusal.CodeWithdrawn || got.RunState != refusal.RunUnknown {
 		t.Errorf("after the withdrawal: %v", got)
 	}
 	if cancelReasonOr(ctx, nil) != nil {
--- a/instance/stop.go
+++ b/instance/stop.go
@@ -60,7 +60,7 @@
 // cancelInFlight cancels the requests in flight, so that callers get an explicit error and
 // not a broken connection.
 func (i *Instance) cancelInFlight(drainedChannels ...<-chan struct{}) {
-	reason := refusal.New(refusal.CodeLeaving, "this instance stops").WithRun(refusal.Unknown)
+	reason := refusal.New(refusal.CodeLeaving, "this instance stops").WithRunState(refusal.RunUnknown)
 	i.log.Warn("cancelling requests in flight", "in_flight", i.requests.Count(), "forwarded", i.forwarded.Count())
 	i.requests.CancelAll(reason)
 	i.forwarded.CancelAll(reason)
--- a/protocol/refusal/refusal.go
+++ b/protocol/refusal/refusal.go
@@ -66,26 +66,26 @@
 	CodePeerUnreachable: http.StatusServiceUnavailable,
 }
 
-// Run is the run state of a refused request: whether it ran on a backend server.
-type Run string
+// RunState is the run state of a refused request: whether it ran on a backend server.
+type RunState string
 
 // Run states of a refused request.
 const (
-	NotRun  Run = "not_run" // no backend server started it, and none will
-	Unknown Run = "unknown"
-	Ran     Run = "ran"
+	NotRun     RunState = "not_run" // no backend server started it, and none will
+	RunUnknown RunState = "unknown"
+	Ran        RunState = "ran"
 )
 
 // Refusal is the error type of refused requests.
 type Refusal struct {
 	Code       Code
 	Message    string
-	Run        Run
+	RunState   RunState
 	RetryAfter time.Duration // when to retry; 0 if a retry does not help
 }
 
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("%s (%s): %s", r.Code, r.Run, r.Message)
+	return fmt.Sprintf("%s (%s): %s", r.Code, r.RunState, r.Message)
 }
 
 // Status returns the HTTP status of the refusal.
@@ -98,37 +98,37 @@
 
 // New returns a refusal of a request that did not run.
 func New(code Code, format string, args ...any) *Refusal {
-	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Run: NotRun}
+	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), RunState: NotRun}
 }
 
-// After returns a copy with RetryAfter set to d.
-func (r *Refusal) After(d time.Duration) *Refusal {
+// WithRetryAfter returns a copy with RetryAfter set to d.
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	next := *r
 	next.RetryAfter = d
 	return &next
 }
 
-// WithRun returns a copy with another run state.
-func (r *Refusal) WithRun(run Run) *Refusal {
+// WithRunState returns a copy with another run state.
+func (r *Refusal) WithRunState(run RunState) *Refusal {
 	next := *r
-	next.Run = run
+	next.RunState = run
 	return &next
 }
 
-// From returns the refusal that err wraps, or an internal one with run state unknown,
+// FromError returns the refusal that err wraps, or an internal one with run state unknown,
 // since an untyped error does not show whether the request ran.
-func From(err error) *Refusal {
+func FromError(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
 		return r
 	}
-	return New(CodeInternal, "%v", err).WithRun(Unknown)
+	return New(CodeInternal, "%v", err).WithRunState(RunUnknown)
 }
 
-var runToProto = map[Run]peerpb.RunState{
-	NotRun:  peerpb.RunState_RUN_STATE_NOT_RUN,
-	Unknown: peerpb.RunState_RUN_STATE_UNKNOWN,
-	Ran:     peerpb.RunState_RUN_STATE_RAN,
+var runToProto = map[RunState]peerpb.RunState{
+	NotRun:     peerpb.RunState_RUN_STATE_NOT_RUN,
+	RunUnknown: peerpb.RunState_RUN_STATE_UNKNOWN,
+	Ran:        peerpb.RunState_RUN_STATE_RAN,
 }
 
 // ToProto encodes the refusal for a peer.
@@ -136,14 +136,14 @@
 	return &peerpb.Refusal{
 		Code:         string(r.Code),
 		Message:      r.Message,
-		Run:          runToProto[r.Run],
+		Run:          runToProto[r.RunState],
 		RetryAfterMs: r.RetryAfter.Milliseconds(),
 	}
 }
 
 // FromProto decodes a peer's refusal. An unrecognized run state is decoded as Unknown.
 func FromProto(p *peerpb.Refusal) *Refusal {
-	run := Unknown
+	run := RunUnknown
 	for state, encoded := range runToProto {
 		if encoded == p.GetRun() {
 			run = state
@@ -152,7 +152,7 @@
 	return &Refusal{
 		Code:       Code(p.GetCode()),
 		Message:    p.GetMessage(),
-		Run:        run,
+		RunState:   run,
 		RetryAfter: time.Duration(p.GetRetryAfterMs()) * time.Millisecond,
 	}
 }
--- a/state/requests/requests.go
+++ b/state/requests/requests.go
@@ -102,7 +102,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for r := range s.byKey[keyID] {
-		r.cancel(refusal.New(refusal.CodeWithdrawn, "the key was withdrawn").WithRun(refusal.Unknown))
+		r.cancel(refusal.New(refusal.CodeWithdrawn, "the key was withdrawn").WithRunState(refusal.RunUnknown))
 	}
 }
 
--- a/transport/backend/client.go
+++ b/transport/backend/client.go
@@ -83,7 +83,7 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return refusal.New(refusal.CodeBackendFailed, "backend server not reached")
 	}
-	return refusal.New(refusal.CodeBackendFailed, "connection to the backend server broke").WithRun(refusal.Unknown)
+	return refusal.New(refusal.CodeBackendFailed, "connection to the backend server broke").WithRunState(refusal.RunUnknown)
 }
 
 // Operation is one call of a plain service.
@@ -121,7 +121,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(body) > maxResponseBytes {
-		return nil, refusal.New(refusal.CodeBackendFailed, "the answer was cut").WithRun(refusal.Ran)
+		return nil, refusal.New(refusal.CodeBackendFailed, "the answer was cut").WithRunState(refusal.Ran)
 	}
 	return body, nil
 }
@@ -135,9 +135,9 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		return refusal.New(refusal.CodeInvalid, "the backend server refused the body").WithRun(refusal.Unknown)
+		return refusal.New(refusal.CodeInvalid, "the backend server refused the body").WithRunState(refusal.RunUnknown)
 	}
-	return refusal.New(refusal.CodeBackendFailed, "the backend server answered %d", resp.StatusCode).WithRun(refusal.Unknown)
+	return refusal.New(refusal.CodeBackendFailed, "the backend server answered %d", resp.StatusCode).WithRunState(refusal.RunUnknown)
 }
 
 // notStarted reports whether the response has one of the error codes that engine.yaml and
--- a/transport/backend/client_test.go
+++ b/transport/backend/client_test.go
@@ -43,7 +43,7 @@
 	}
 	service.SetFaults(plain.Faults{ResetAfterRead: 1})
 	_, err := client.Run(t.Context(), address, purchaseOrder("x"))
-	if got := refusal.From(err); got.Code != refusal.CodeBackendFailed || got.Run != refusal.Unknown {
+	if got := refusal.FromError(err); got.Code != refusal.CodeBackendFailed || got.RunState != refusal.RunUnknown {
 		t.Errorf("refused with %v", err)
 	}
 	if n := service.Received(); n != 2 {
@@ -59,7 +59,7 @@
 	defer client.Close()
 	service.SetFaults(plain.Faults{LoseResponses: 1})
 	_, err := client.Run(t.Context(), address, purchaseOrder("x"))
-	if got := refusal.From(err); got.Run != refusal.Unknown {
+	if got := refusal.FromError(err); got.RunState != refusal.RunUnknown {
 		t.Errorf("refused with %v", err)
 	}
 	if n := service.Runs()[plain.Run{Operation: "buy", ID: "x"}]; n != 1 {
@@ -83,18 +83,18 @@
 	gone.Close()
 	for _, c := range []struct {
 		what, address string
-		want          refusal.Run
+		want          refusal.RunState
 	}{
 		{"nobody listens", gone.URL, refusal.NotRun},
 		{"leaving", answer(503, `{"code":"leaving","message":""}`), refusal.NotRun},
 		{"overloaded", answer(503, `{"code":"overloaded","message":""}`), refusal.NotRun},
-		{"bare 503", answer(503, `upstream unavailable`), refusal.Unknown},
-		{"503 of another kind", answer(503, `{"code":"invalid","message":""}`), refusal.Unknown},
-		{"500", answer(500, `{"code":"leaving","message":""}`), refusal.Unknown},
-		{"422", answer(422, `{}`), refusal.Unknown},
+		{"bare 503", answer(503, `upstream unavailable`), refusal.RunUnknown},
+		{"503 of another kind", answer(503, `{"code":"invalid","message":""}`), refusal.RunUnknown},
+		{"500", answer(500, `{"code":"leaving","message":""}`), refusal.RunUnknown},
+		{"422", answer(422, `{}`), refusal.RunUnknown},
 	} {
 		_, err := client.Run(t.Context(), c.address, purchaseOrder("x"))
-		if got := refusal.From(err); err == nil || got.Run != c.want {
+		if got := refusal.FromError(err); err == nil || got.RunState != c.want {
 			t.Errorf("%s: %v", c.what, err)
 		}
 	}
@@ -110,7 +110,7 @@
 	for _, status := range []int{http.StatusFound, http.StatusSeeOther, http.StatusTemporaryRedirect, http.StatusPermanentRedirect} {
 		address := serve(t, http.RedirectHandler(target+"/v1/operations/buy", status))
 		_, err := client.Run(t.Context(), address, purchaseOrder("x"))
-		if got := refusal.From(err); err == nil || got.Run != refusal.Unknown {
+		if got := refusal.FromError(err); err == nil || got.RunState != refusal.RunUnknown {
 			t.Errorf("%d: refused with %v", status, err)
 		}
 	}
--- a/transport/backend/stream.go
+++ b/transport/backend/stream.go
@@ -91,10 +91,10 @@
 	for {
 		line, err := readLine(lines)
 		if err != nil {
-			return refusal.New(refusal.CodeBackendFailed, "the stream broke").WithRun(refusal.Unknown)
+			return refusal.New(refusal.CodeBackendFailed, "the stream broke").WithRunState(refusal.RunUnknown)
 		}
 		if err := frame.Decode(line, &f); err != nil {
-			return refusal.New(refusal.CodeBackendFailed, "a frame cannot be read").WithRun(refusal.Unknown)
+			return refusal.New(refusal.CodeBackendFailed, "a frame cannot be read").WithRunState(refusal.RunUnknown)
 		}
 		switch {
 		case f.RequestID != g.RequestID || f.Attempt != g.Attempt:
@@ -104,10 +104,10 @@
 			stats.Repeated++
 			continue
 		case f.Seq > *next:
-			return refusal.New(refusal.CodeBackendFailed, "frames are missing").WithRun(refusal.Unknown)
+			return refusal.New(refusal.CodeBackendFailed, "frames are missing").WithRunState(refusal.RunUnknown)
 		}
 		if f.Finish == frame.FinishCancelled {
-			return refusal.New(refusal.CodeIncomplete, "the generation was cancelled on its engine").WithRun(refusal.Ran)
+			return refusal.New(refusal.CodeIncomplete, "the generation was cancelled on its engine").WithRunState(refusal.Ran)
 		}
 		*next++
 		if err := handle(&f); err != nil {
--- a/transport/backend/stream_test.go
+++ b/transport/backend/stream_test.go
@@ -69,7 +69,7 @@
 	if complete := len(got) == frameCount; complete != (err == nil) {
 		t.Fatalf("%d frames, error %v", len(got), err)
 	}
-	if err != nil && refusal.From(err).Run != refusal.Unknown {
+	if err != nil && refusal.FromError(err).RunState != refusal.RunUnknown {
 		t.Fatalf("refused with %v", err)
 	}
 }
@@ -83,7 +83,7 @@
 	next := int64(0)
 	err := readFrames(bufio.NewReader(bytes.NewReader(encodeFrames(frames))), Generation{RequestID: "own", Attempt: 1}, &next, &stats,
 		func(*frame.Frame) error { return nil })
-	if err == nil || refusal.From(err).Code != refusal.CodeIncomplete {
+	if err == nil || refusal.FromError(err).Code != refusal.CodeIncomplete {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/transport/claim/claim.go
+++ b/transport/claim/claim.go
@@ -90,7 +90,7 @@
 	switch {
 	case err == nil:
 		handle.revision = revision
-		c.outcomes.Set(handle.nonce, refusal.Unknown)
+		c.outcomes.Set(handle.nonce, refusal.RunUnknown)
 		return handle, nil
 	case errors.Is(err, platform.ErrConflict):
 		return nil, c.duplicateRefusal(ctx, handle.key, hash)
@@ -102,7 +102,7 @@
 }
 
 func storeUnreachable() *refusal.Refusal {
-	return refusal.New(refusal.CodeStoreDown, "the store is out of reach, so the operation cannot be claimed").After(storeRetryAfter)
+	return refusal.New(refusal.CodeStoreDown, "the store is out of reach, so the operation cannot be claimed").WithRetryAfter(storeRetryAfter)
 }
 
 var errNoLease = errors.New("no lease for claims")
@@ -152,21 +152,21 @@
 func (c *Claimer) duplicateRefusal(ctx context.Context, key, hash string) *refusal.Refusal {
 	kv, err := c.store.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
-		return refusal.New(refusal.CodeConflict, "another request under this key gave up just now").After(storeRetryAfter)
+		return refusal.New(refusal.CodeConflict, "another request under this key gave up just now").WithRetryAfter(storeRetryAfter)
 	}
 	if err != nil {
-		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRun(refusal.Unknown)
+		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRunState(refusal.RunUnknown)
 	}
 	found, err := once.Decode(kv.Value)
 	if err != nil {
-		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRun(refusal.Unknown)
+		return refusal.New(refusal.CodeConflict, "a claim under this key stands").WithRunState(refusal.RunUnknown)
 	}
 	return once.DuplicateRefusal(found, hash, c.outcomes.Run(found.Nonce))
 }
 
 // Finish records how the claimed operation ended. The claim of an operation that has certainly
 // not run is retracted, so that the caller may send it again.
-func (h *Handle) Finish(run refusal.Run) {
+func (h *Handle) Finish(run refusal.RunState) {
 	h.claimer.outcomes.Set(h.nonce, run)
 	if run != refusal.NotRun {
 		return
--- a/transport/claim/claim_test.go
+++ b/transport/claim/claim_test.go
@@ -150,7 +150,7 @@
 		handle.Finish(refusal.NotRun)
 		return refusal.New(refusal.CodeBackendFailed, "not reached")
 	case 1: // the instance is killed between claim and dispatch
-		return refusal.New(refusal.CodePeerUnreachable, "killed").WithRun(refusal.Unknown)
+		return refusal.New(refusal.CodePeerUnreachable, "killed").WithRunState(refusal.RunUnknown)
 	}
 	c.mu.Lock()
 	c.runs++
@@ -222,8 +222,8 @@
 			c := New(ctx, store, "i", slog.New(slog.DiscardHandler))
 			r := Request{Key: keyAt(time.Now()), Account: "a", Service: "s", Operation: "buy"}
 			_, err := c.Claim(ctx, r)
-			got := refusal.From(err)
-			if got.Code != refusal.CodeStoreDown || got.Run != refusal.NotRun || got.RetryAfter == 0 {
+			got := refusal.FromError(err)
+			if got.Code != refusal.CodeStoreDown || got.RunState != refusal.NotRun || got.RetryAfter == 0 {
 				t.Fatalf("store out of reach: %v", err)
 			}
 			time.Sleep(3 * time.Second)
@@ -253,17 +253,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	check := func(what string, c *Claimer, r Request, code refusal.Code, run refusal.Run) {
+	check := func(what string, c *Claimer, r Request, code refusal.Code, run refusal.RunState) {
 		t.Helper()
 		_, err := c.Claim(ctx, r)
-		if got := refusal.From(err); err == nil || got.Code != code || got.Run != run {
+		if got := refusal.FromError(err); err == nil || got.Code != code || got.RunState != run {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	check("in flight", first, r, refusal.CodeConflict, refusal.Unknown)
+	check("in flight", first, r, refusal.CodeConflict, refusal.RunUnknown)
 	handle.Finish(refusal.Ran)
 	check("ran, same instance", first, r, refusal.CodeConflict, refusal.Ran)
-	check("ran, other instance", second, r, refusal.CodeConflict, refusal.Unknown)
+	check("ran, other instance", second, r, refusal.CodeConflict, refusal.RunUnknown)
 	other := r
 	other.Body = []byte("2")
 	check("other body", second, other, refusal.CodeInvalid, refusal.NotRun)
@@ -304,11 +304,11 @@
 	ends := lastUse.Add(once.LeaseTTL)
 	if _, refused := once.ParseKey(youngest, ends.Add(-once.MaxSkew+time.Millisecond)); refused == nil {
 		t.Error("the key is accepted after its claim has ended")
-	} else if refused.Run != refusal.Unknown {
+	} else if refused.RunState != refusal.RunUnknown {
 		t.Errorf("too old: %v", refused)
 	}
 	for _, text := range []string{"", "x", uuid.NewString()} {
-		if _, refused := once.ParseKey(text, now); refused == nil || refused.Run != refusal.NotRun {
+		if _, refused := once.ParseKey(text, now); refused == nil || refused.RunState != refusal.NotRun {
 			t.Errorf("%q: %v", text, refused)
 		}
 	}
--- a/transport/dispatch/admit_test.go
+++ b/transport/dispatch/admit_test.go
@@ -49,7 +49,7 @@
 			switch {
 			case refused == nil && code == "":
 				free()
-			case refused == nil || refused.Code != code || refused.Run != refusal.NotRun:
+			case refused == nil || refused.Code != code || refused.RunState != refusal.NotRun:
 				t.Errorf("refused with %v, want %q", refused, code)
 			}
 		}
--- a/transport/dispatch/charge.go
+++ b/transport/dispatch/charge.go
@@ -27,13 +27,13 @@
 	case decision := <-waiter.Done:
 		if !decision.OK {
 			f.Metrics.RecordQuota(metrics.QuotaRefused, cost)
-			return quota.Charge{}, refusal.New(refusal.CodeRateLimited, "the account is at its rate").After(decision.RetryAfter)
+			return quota.Charge{}, refusal.New(refusal.CodeRateLimited, "the account is at its rate").WithRetryAfter(decision.RetryAfter)
 		}
 		f.Metrics.RecordQuota(metrics.QuotaCharged, cost)
 		return decision.Charge, nil
 	case <-ctx.Done():
 		f.Ledger.Abandon(waiter, time.Now())
-		return quota.Charge{}, refusal.From(f.cancelError(ctx, refusal.New(refusal.CodeDeadline, "the request ran out of time"))).WithRun(refusal.NotRun)
+		return quota.Charge{}, refusal.FromError(f.cancelError(ctx, refusal.New(refusal.CodeDeadline, "the request ran out of time"))).WithRunState(refusal.NotRun)
 	}
 }
 
@@ -44,7 +44,7 @@
 	switch {
 	case w.Generation != nil && u.done:
 		used = float64(u.prompt + u.output)
-	case err != nil && refusal.From(err).Run == refusal.NotRun:
+	case err != nil && refusal.FromError(err).RunState == refusal.NotRun:
 		used = 0
 	}
 	if used < charge.Tokens {
--- a/transport/dispatch/crash.go
+++ b/transport/dispatch/crash.go
@@ -18,12 +18,12 @@
 // connectionFailed records that the connection to a server failed with work in flight, and
 // finds out whether the server crashed.
 func (l *LocalDispatcher) connectionFailed(ctx context.Context, w *Work, server servers.Server, err error) {
-	r := refusal.From(err)
+	r := refusal.FromError(err)
 	if ctx.Err() != nil || r.Code != refusal.CodeBackendFailed {
 		return
 	}
 	l.Servers.RecordCallFailure(w.Service, server.ID, maxConsecutiveFailures)
-	if r.Run != refusal.Unknown {
+	if r.RunState != refusal.RunUnknown {
 		return
 	}
 	l.detectCrash(ctx, w, server)
--- a/transport/dispatch/front.go
+++ b/transport/dispatch/front.go
@@ -110,15 +110,15 @@
 		if err == nil {
 			return nil
 		}
-		current := refusal.From(err)
+		current := refusal.FromError(err)
 		if current.Code == refusal.CodeNoServer && last != nil {
 			return last // no alternative is left: keep the previous reason and its retry time
 		}
-		run = combineRun(run, current.Run)
+		run = combineRun(run, current.RunState)
 		if u.frames > 0 {
 			run = refusal.Ran
 		}
-		refused := current.WithRun(run)
+		refused := current.WithRunState(run)
 		if ctx.Err() != nil {
 			return f.cancelError(ctx, refused)
 		}
@@ -155,12 +155,12 @@
 // combineRun returns the run state of a request after two attempts. Without it a request
 // that may have run in its first attempt and was refused in the second would be reported
 // as not run, and its caller would send it again.
-func combineRun(a, b refusal.Run) refusal.Run {
+func combineRun(a, b refusal.RunState) refusal.RunState {
 	switch {
 	case a == refusal.Ran || b == refusal.Ran:
 		return refusal.Ran
-	case a == refusal.Unknown || b == refusal.Unknown:
-		return refusal.Unknown
+	case a == refusal.RunUnknown || b == refusal.RunUnknown:
+		return refusal.RunUnknown
 	}
 	return refusal.NotRun
 }
@@ -169,9 +169,9 @@
 // key.
 func (f *Front) cancelError(ctx context.Context, refused *refusal.Refusal) error {
 	if cause := context.Cause(ctx); cause != nil && cause != ctx.Err() {
-		return refusal.From(cause)
+		return refusal.FromError(cause)
 	}
-	return refusal.New(refusal.CodeDeadline, "the request ran out of time").WithRun(refused.Run)
+	return refusal.New(refusal.CodeDeadline, "the request ran out of time").WithRunState(refused.RunState)
 }
 
 // sleep waits for d. It returns false if the context ends first.
@@ -189,7 +189,7 @@
 func (f *Front) attempt(ctx context.Context, request *routing.Request, w *Work, sink Sink) error {
 	chosen := f.choose(request, w)
 	if chosen == nil {
-		return refusal.New(refusal.CodeNoServer, "no failure domain can take the request").After(noServerRetry)
+		return refusal.New(refusal.CodeNoServer, "no failure domain can take the request").WithRetryAfter(noServerRetry)
 	}
 	if chosen.PeerAddress == "" {
 		err := f.Local.Run(ctx, w, sink)
@@ -228,7 +228,7 @@
 	if err == nil {
 		return
 	}
-	switch refusal.From(err).Code {
+	switch refusal.FromError(err).Code {
 	case refusal.CodePeerUnreachable, refusal.CodeLeaving:
 		request.Exclude[d.PeerID] = true
 	case refusal.CodeOverloaded, refusal.CodeNoServer:
--- a/transport/dispatch/front_test.go
+++ b/transport/dispatch/front_test.go
@@ -73,7 +73,7 @@
 // another instance of the same one, and its caller gets the answer.
 func TestRefusedDomainIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		full := refusal.New(refusal.CodeOverloaded, "full").After(time.Second)
+		full := refusal.New(refusal.CodeOverloaded, "full").WithRetryAfter(time.Second)
 		p := &fakePeerSet{
 			domains: []routing.Domain{remoteDomain("a", "a1", 0), remoteDomain("a", "a2", 0), remoteDomain("b", "b1", time.Second)},
 			script:  map[string][]error{"a1": {full}, "a2": {full}},
@@ -94,12 +94,12 @@
 // queue gave.
 func TestAllQueuesFullIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		full := refusal.New(refusal.CodeOverloaded, "full").After(3 * time.Second)
+		full := refusal.New(refusal.CodeOverloaded, "full").WithRetryAfter(3 * time.Second)
 		p := &fakePeerSet{domains: []routing.Domain{remoteDomain("a", "a1", 0)}, script: map[string][]error{"a1": {full, full, full}}}
 		began := time.Now()
 		err := newTestFront(p).runAttempts(t.Context(), modelService, testWork(), &usage{Sink: discardSink{}})
-		r := refusal.From(err)
-		if r.Code != refusal.CodeOverloaded || r.Run != refusal.NotRun || r.RetryAfter != 3*time.Second || time.Since(began) != 0 {
+		r := refusal.FromError(err)
+		if r.Code != refusal.CodeOverloaded || r.RunState != refusal.NotRun || r.RetryAfter != 3*time.Second || time.Since(began) != 0 {
 			t.Errorf("%v, retry after %s, refused after %s", r, r.RetryAfter, time.Since(began))
 		}
 	})
@@ -109,13 +109,13 @@
 // as not run: its caller would resend a request that may have run.
 func TestNotRunHoldsForAllAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		broke := refusal.New(refusal.CodeBackendFailed, "broke").WithRun(refusal.Unknown)
+		broke := refusal.New(refusal.CodeBackendFailed, "broke").WithRunState(refusal.RunUnknown)
 		p := &fakePeerSet{
 			domains: []routing.Domain{remoteDomain("a", "a1", 0)},
 			script:  map[string][]error{"a1": {broke, refusal.New(refusal.CodeInvalid, "no")}},
 		}
 		err := newTestFront(p).runAttempts(t.Context(), modelService, testWork(), &usage{Sink: discardSink{}})
-		if r := refusal.From(err); r.Code != refusal.CodeInvalid || r.Run != refusal.Unknown {
+		if r := refusal.FromError(err); r.Code != refusal.CodeInvalid || r.RunState != refusal.RunUnknown {
 			t.Errorf("refused with %v", r)
 		}
 	})
@@ -149,7 +149,7 @@
 				return err
 			}
 			if attempt == 1 {
-				return refusal.New(refusal.CodeBackendFailed, "broke").WithRun(refusal.Unknown)
+				return refusal.New(refusal.CodeBackendFailed, "broke").WithRunState(refusal.RunUnknown)
 			}
 			return answerOK(sink)
 		}
@@ -161,7 +161,7 @@
 		}
 		attempt = 0
 		err = newTestFront(p).runAttempts(t.Context(), modelService, testWork(), &usage{Sink: discardSink{}})
-		if r := refusal.From(err); r.Run != refusal.Ran || attempt != 1 {
+		if r := refusal.FromError(err); r.RunState != refusal.Ran || attempt != 1 {
 			t.Errorf("stream: %d attempts, %v", attempt, err)
 		}
 	})
@@ -179,7 +179,7 @@
 		go func() { done <- f.runAttempts(ctx, modelService, testWork(), &usage{Sink: discardSink{}}) }()
 		synctest.Wait()
 		disconnect()
-		if err := <-done; len(p.called) != 1 || refusal.From(err).Run != refusal.NotRun {
+		if err := <-done; len(p.called) != 1 || refusal.FromError(err).RunState != refusal.NotRun {
 			t.Errorf("called %d times, %v", len(p.called), err)
 		}
 	})
--- a/transport/dispatch/local.go
+++ b/transport/dispatch/local.go
@@ -74,7 +74,7 @@
 }
 
 func noServer(name string) *refusal.Refusal {
-	return refusal.New(refusal.CodeNoServer, "no backend server of %s can take the request", name).After(noServerRetry)
+	return refusal.New(refusal.CodeNoServer, "no backend server of %s can take the request", name).WithRetryAfter(noServerRetry)
 }
 
 func (l *LocalDispatcher) hasServer(svc *service.Service) bool {
@@ -190,7 +190,7 @@
 }
 
 func quarantined(until time.Time) *refusal.Refusal {
-	return refusal.New(refusal.CodeQuarantined, "this request crashed backend servers").After(time.Until(until))
+	return refusal.New(refusal.CodeQuarantined, "this request crashed backend servers").WithRetryAfter(time.Until(until))
 }
 
 func (l *LocalDispatcher) request(w *Work, svc *service.Service) *routing.Request {
@@ -284,7 +284,7 @@
 	case err == nil:
 		duration := now.Sub(m.sent)
 		routing.RecordResponse(p.entry, m.latency, m.expected, duration)
-	case ctx.Err() == nil && refusal.From(err).Code == refusal.CodeBackendFailed:
+	case ctx.Err() == nil && refusal.FromError(err).Code == refusal.CodeBackendFailed:
 		l.Admission.addSample(p.entry, p.service, admission.Sample{Failed: true}, now)
 		routing.RecordFailure(l.Servers, p.entry, now)
 		w.triedServers = append(w.triedServers, p.server.ID)
--- a/transport/dispatch/operate.go
+++ b/transport/dispatch/operate.go
@@ -45,9 +45,9 @@
 	})
 }
 
-func runState(err error) refusal.Run {
+func runState(err error) refusal.RunState {
 	if err == nil {
 		return refusal.Ran
 	}
-	return refusal.From(err).Run
+	return refusal.FromError(err).RunState
 }
--- a/transport/dispatch/resume.go
+++ b/transport/dispatch/resume.go
@@ -54,7 +54,7 @@
 	if err == nil || ctx.Err() != nil || p.next == 0 || p.complete || p.sinkFailed {
 		return false
 	}
-	code := refusal.From(err).Code
+	code := refusal.FromError(err).Code
 	return code == refusal.CodePeerUnreachable || code == refusal.CodeLeaving
 }
 
--- a/transport/dispatch/resume_test.go
+++ b/transport/dispatch/resume_test.go
@@ -33,7 +33,7 @@
 	left := f.breakAfter[address]
 	for seq := w.Generation.FromSeq; seq < answerFrames; seq++ {
 		if left == 0 {
-			return refusal.New(refusal.CodePeerUnreachable, "cut").WithRun(refusal.Unknown)
+			return refusal.New(refusal.CodePeerUnreachable, "cut").WithRunState(refusal.RunUnknown)
 		}
 		left--
 		part := &frame.Frame{RequestID: w.RequestID, Attempt: w.Attempt, Seq: seq, Text: fmt.Sprint(seq), Tokens: 1}
--- a/transport/dispatch/stream.go
+++ b/transport/dispatch/stream.go
@@ -43,7 +43,7 @@
 		if err == nil {
 			return nil
 		}
-		broken := refusal.From(err)
+		broken := refusal.FromError(err)
 		if ctx.Err() != nil || broken.Code != refusal.CodeBackendFailed {
 			l.cancelUnlessResumable(ctx, server, w)
 			return err
@@ -64,7 +64,7 @@
 	if errors.Is(cause, ErrDetached) {
 		return
 	}
-	if w.Hop > 0 && cause != nil && refusal.From(cause).Code == refusal.CodeLeaving {
+	if w.Hop > 0 && cause != nil && refusal.FromError(cause).Code == refusal.CodeLeaving {
 		return
 	}
 	l.cancel(server, w.RequestID)
@@ -100,7 +100,7 @@
 	}
 	server, found := l.Servers.Find(w.Service, w.Generation.Server)
 	if !found {
-		refused = refusal.New(refusal.CodeIncomplete, "the engine of this generation has gone").WithRun(refusal.Ran)
+		refused = refusal.New(refusal.CodeIncomplete, "the engine of this generation has gone").WithRunState(refusal.Ran)
 	}
 	return server, refused, true
 }
--- a/transport/dispatch/stream_test.go
+++ b/transport/dispatch/stream_test.go
@@ -92,7 +92,7 @@
 	e.SetFaults(engine.Faults{CutAfter: 1, MaxCuts: 100})
 	sink := newCollectingSink()
 	err := l.generate(t.Context(), localWork("r", 40), server, sink)
-	if got := refusal.From(err); err == nil || got.Run != refusal.Unknown || sink.last.Finish != "" {
+	if got := refusal.FromError(err); err == nil || got.RunState != refusal.RunUnknown || sink.last.Finish != "" {
 		t.Errorf("ended with %v after %+v", err, sink.last)
 	}
 }
@@ -145,7 +145,7 @@
 		t.Errorf("%v %v %v", server, refused, ok)
 	}
 	w.Generation.Server = "another"
-	if _, refused, ok := l.pinnedServer(w); !ok || refused == nil || refused.Run != refusal.Ran {
+	if _, refused, ok := l.pinnedServer(w); !ok || refused == nil || refused.RunState != refusal.Ran {
 		t.Errorf("%v %v", refused, ok)
 	}
 }
--- a/transport/gateway/completions.go
+++ b/transport/gateway/completions.go
@@ -49,7 +49,7 @@
 // fault in transit never looks like a short response.
 func checkComplete(sink dispatch.Sink) error {
 	if s, ok := sink.(interface{ Complete() bool }); ok && !s.Complete() {
-		return refusal.New(refusal.CodeIncomplete, "the answer is not whole").WithRun(refusal.Ran)
+		return refusal.New(refusal.CodeIncomplete, "the answer is not whole").WithRunState(refusal.Ran)
 	}
 	return nil
 }
--- a/transport/gateway/errors.go
+++ b/transport/gateway/errors.go
@@ -33,14 +33,14 @@
 	if errors.As(err, &request) || errors.As(err, &params) {
 		return refusal.New(refusal.CodeInvalid, "%v", err)
 	}
-	return refusal.From(err)
+	return refusal.FromError(err)
 }
 
 // encodeRefusal returns the body of a refusal. A refusal of a request that other instances may
 // serve lists these instances.
 func (g *Gateway) encodeRefusal(r *refusal.Refusal, account *service.Account) gatewayapi.Refusal {
 	g.Metrics.RecordRefusal(string(r.Code))
-	out := gatewayapi.Refusal{Code: string(r.Code), Message: r.Message, Run: gatewayapi.RefusalRun(r.Run)}
+	out := gatewayapi.Refusal{Code: string(r.Code), Message: r.Message, Run: gatewayapi.RefusalRun(r.RunState)}
 	if r.RetryAfter > 0 {
 		out.RetryAfterMs = gatewayapi.NewOptInt64(r.RetryAfter.Milliseconds())
 	}
--- a/transport/gateway/gateway.go
+++ b/transport/gateway/gateway.go
@@ -80,7 +80,7 @@
 // HandleKey implements gatewayapi.SecurityHandler.
 func (g *Gateway) HandleKey(ctx context.Context, _ gatewayapi.OperationName, key gatewayapi.Key) (context.Context, error) {
 	if !g.Ready() {
-		return ctx, refusal.New(refusal.CodeNotReady, "this instance does not have its configuration yet").After(time.Second)
+		return ctx, refusal.New(refusal.CodeNotReady, "this instance does not have its configuration yet").WithRetryAfter(time.Second)
 	}
 	account, id, state := g.Catalog.CheckKey(key.Token)
 	switch state {
@@ -181,7 +181,7 @@
 	c := callerOf(ctx)
 	ctx, request, ok := g.Requests.Begin(ctx, c.keyID)
 	if !ok {
-		return refusal.New(refusal.CodeLeaving, "this instance stops").After(time.Second)
+		return refusal.New(refusal.CodeLeaving, "this instance stops").WithRetryAfter(time.Second)
 	}
 	defer g.Requests.End(request)
 	if !g.Catalog.Usable(c.keyID) { // withdrawn between the check and the registration
--- a/transport/gateway/observe.go
+++ b/transport/gateway/observe.go
@@ -20,7 +20,7 @@
 	err := g.Runner.Run(ctx, account, w, observed)
 	code := metrics.CodeDone
 	if err != nil {
-		code = string(refusal.From(err).Code)
+		code = string(refusal.FromError(err).Code)
 	}
 	g.Metrics.RecordEnd(w.Service, w.Class, code, time.Since(observed.start), observed.outputTokens)
 	return err
--- a/transport/gateway/stream.go
+++ b/transport/gateway/stream.go
@@ -103,7 +103,7 @@
 		select {
 		case <-e.drained:
 		case <-e.callerGone:
-			return refusal.New(refusal.CodeIncomplete, "the caller went away").WithRun(refusal.Ran)
+			return refusal.New(refusal.CodeIncomplete, "the caller went away").WithRunState(refusal.Ran)
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	w.RawStr(`,"message":`)
 	w.Str(r.Message)
 	w.RawStr(`,"run":`)
-	w.Str(string(r.Run))
+	w.Str(string(r.RunState))
 	w.RawStr("}}\n\n")
 	return w.Buf
 }
--- a/transport/gateway/whole_test.go
+++ b/transport/gateway/whole_test.go
@@ -50,7 +50,7 @@
 // received held no token.
 func TestAnswerWithoutItsEndIsIncomplete(t *testing.T) {
 	for name, ended := range map[string]error{
-		"an error": refusal.New(refusal.CodeBackendFailed, "broke").WithRun(refusal.Ran), "no error": nil,
+		"an error": refusal.New(refusal.CodeBackendFailed, "broke").WithRunState(refusal.Ran), "no error": nil,
 	} {
 		url, key := serve(t, truncatingRunner{ended})
 		if status, body := post(t, url, key, "false"); status != http.StatusBadGateway || !strings.Contains(body, `"run":"ran"`) {
--- a/transport/peer/forward.go
+++ b/transport/peer/forward.go
@@ -79,7 +79,7 @@
 }
 
 func unreachableRefusal(message string) *refusal.Refusal {
-	return refusal.New(refusal.CodePeerUnreachable, "peer: %s", message).WithRun(refusal.Unknown)
+	return refusal.New(refusal.CodePeerUnreachable, "peer: %s", message).WithRunState(refusal.RunUnknown)
 }
 
 // responseChecker checks the frames of one forwarded request and passes them to the sink.
--- a/transport/peer/forward_test.go
+++ b/transport/peer/forward_test.go
@@ -102,7 +102,7 @@
 		if got.bodies > 0 {
 			t.Fatal("a generation was answered with a body")
 		}
-		if err != nil && refusal.From(err).Run != refusal.Unknown {
+		if err != nil && refusal.FromError(err).RunState != refusal.RunUnknown {
 			t.Fatalf("refused with %v", err)
 		}
 	})
@@ -115,7 +115,7 @@
 	} {
 		got := &recordingSink{}
 		err := receive(&scriptedStream{frames: frames, end: io.EOF}, operationWork(), got)
-		if err == nil || refusal.From(err).Run != refusal.Unknown || got.bodies > 0 {
+		if err == nil || refusal.FromError(err).RunState != refusal.RunUnknown || got.bodies > 0 {
 			t.Errorf("%s: %v, %d answers", what, err, got.bodies)
 		}
 	}
--- a/transport/peer/running.go
+++ b/transport/peer/running.go
@@ -49,7 +49,7 @@
 	_, seen := r.seen[f.attempt]
 	_, seenEarlier := r.previous[f.attempt]
 	if (seen || seenEarlier) && !isResume(w) {
-		return nil, refusal.New(refusal.CodeConflict, "this attempt was sent here before").WithRun(refusal.Unknown)
+		return nil, refusal.New(refusal.CodeConflict, "this attempt was sent here before").WithRunState(refusal.RunUnknown)
 	}
 	r.seen[f.attempt] = struct{}{}
 	r.current[f.attempt] = f
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -97,13 +97,13 @@
 	if err == nil || out.failed {
 		return nil
 	}
-	return stream.Send(out.newFrame("", &peerpb.ForwardFrame_Refusal{Refusal: refusal.From(err).ToProto()}))
+	return stream.Send(out.newFrame("", &peerpb.ForwardFrame_Refusal{Refusal: refusal.FromError(err).ToProto()}))
 }
 
 // Cancel implements peerpb.PeerServer. A request that does not run on this instance may have
 // been detached; its generation is then cancelled on its engine.
 func (s *Server) Cancel(_ context.Context, req *peerpb.CancelRequest) (*peerpb.CancelResponse, error) {
-	callerGone := refusal.New(refusal.CodeIncomplete, "the caller does not wait any more").WithRun(refusal.Unknown)
+	callerGone := refusal.New(refusal.CodeIncomplete, "the caller does not wait any more").WithRunState(refusal.RunUnknown)
 	ended := s.running.cancel(req.GetRequestId(), int(req.GetAttempt()), callerGone)
 	if !ended && req.GetServer() != "" {
 		s.Runner.CancelForwarded(req.GetService(), req.GetServer(), req.GetRequestId())
--- a/transport/peer/server_test.go
+++ b/transport/peer/server_test.go
@@ -41,7 +41,7 @@
 	r.started <- struct{}{}
 	<-ctx.Done()
 	r.causes <- context.Cause(ctx)
-	return refusal.From(context.Cause(ctx))
+	return refusal.FromError(context.Cause(ctx))
 }
 
 func (r *runner) CancelForwarded(_, server, requestID string) {
@@ -127,7 +127,7 @@
 	}()
 	<-r.started
 	link.cut()
-	if err := <-failed; refusal.From(err).Run != refusal.Unknown || refusal.From(err).Code != refusal.CodePeerUnreachable {
+	if err := <-failed; refusal.FromError(err).RunState != refusal.RunUnknown || refusal.FromError(err).Code != refusal.CodePeerUnreachable {
 		t.Errorf("refused with %v", err)
 	}
 	<-r.causes
@@ -146,7 +146,7 @@
 	go func() { _ = pool.Forward(ctx, address, operationWork(), &recordingSink{}) }()
 	<-r.started
 	err := pool.Forward(ctx, address, operationWork(), &recordingSink{})
-	if got := refusal.From(err); got.Code != refusal.CodeConflict || got.Run != refusal.Unknown {
+	if got := refusal.FromError(err); got.Code != refusal.CodeConflict || got.RunState != refusal.RunUnknown {
 		t.Errorf("refused with %v", err)
 	}
 	if r.count() != 1 {
@@ -169,7 +169,7 @@
 	go forward(ctx, "cancelled")
 	<-r.started
 	cancel()
-	if cause := <-r.causes; refusal.From(cause).Code != refusal.CodeIncomplete {
+	if cause := <-r.causes; refusal.FromError(cause).Code != refusal.CodeIncomplete {
 		t.Errorf("a cancelled run ended by %v", cause)
 	}
 	<-ended
