--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -9,25 +9,25 @@
 	"github.com/basilroute/basilroute/protocol/tokens"
 )
 
-// prefillBudget is how many prompt tokens one step computes at most, unless a
-// single prompt is longer.
+// prefillBudget is the number of prompt tokens after which a step admits no further
+// generation. The last one admitted may exceed it.
 const prefillBudget = 2048
 
 // generation is one request in the engine. Its fields are guarded by Engine.mu.
 type generation struct {
-	id        string
-	attempt   int
-	prompt    string
-	mark      PromptHash
-	priority  int
-	want      int // output tokens
-	finish    string
-	cached    int // prompt tokens
-	admitted  bool
-	cancelled bool
-	frames    []frame.Frame
-	changed   chan struct{} // closed and replaced at every frame
-	done      bool
+	id           string
+	attempt      int
+	prompt       string
+	promptHash   PromptHash
+	priority     int
+	outputTokens int // number to generate
+	finishReason string
+	cached       int // prompt tokens
+	admitted     bool
+	cancelled    bool
+	frames       []frame.Frame
+	changed      chan struct{} // closed and replaced at every frame
+	done         bool
 }
 
 func (g *generation) append(f frame.Frame) {
@@ -38,16 +38,16 @@
 	g.changed = make(chan struct{})
 }
 
-// PromptHash identifies a prompt in the engine's answers.
+// PromptHash identifies a prompt in the engine's output tokens.
 type PromptHash uint64
 
-// markPadding is longer than a block, so that the last whole block covers all
-// of the prompt and prompts that share a prefix still get answers of their own.
-const markPadding = tokens.BlockTokens * 8
+// hashPadding is longer than a block, so that the last complete block covers all
+// of the prompt and prompts that share a prefix get different output.
+const hashPadding = tokens.BlockTokens * 8
 
-// HashPrompt returns the mark of a prompt.
+// HashPrompt returns the hash of a prompt.
 func HashPrompt(prompt string) PromptHash {
-	blocks := tokens.AppendBlocks(nil, prompt+string(make([]byte, markPadding)))
+	blocks := tokens.AppendBlocks(nil, prompt+string(make([]byte, hashPadding)))
 	return PromptHash(blocks[len(blocks)-1] & 0xffffff)
 }
 
@@ -57,7 +57,7 @@
 }
 
 // Token returns the text of the i-th output token for a prompt, so that a test
-// can tell a caller's own answer from another's.
+// can tell the output for one caller from the output for another.
 func Token(prompt string, i int) string {
 	return HashPrompt(prompt).Token(i)
 }
@@ -81,7 +81,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for len(e.waiting) == 0 && len(e.running) == 0 && !e.closed {
-		e.work.Wait()
+		e.workAvailable.Wait()
 	}
 	if e.closed {
 		return 0, false
@@ -95,7 +95,8 @@
 	return step, true
 }
 
-// admit returns how many prompt tokens have to be computed for the newcomers.
+// admit moves waiting generations into the batch, in order of priority, and returns the
+// number of uncached prompt tokens that have to be computed for them.
 func (e *Engine) admit() int {
 	slices.SortStableFunc(e.waiting, func(a, b *generation) int { return a.priority - b.priority })
 	computed := 0
@@ -126,12 +127,12 @@
 }
 
 func (e *Engine) advance(g *generation) {
-	next := frame.Frame{Text: g.mark.Token(len(g.frames)), Tokens: 1}
+	next := frame.Frame{Text: g.promptHash.Token(len(g.frames)), Tokens: 1}
 	switch {
 	case g.cancelled:
 		next = frame.Frame{Finish: frame.FinishCancelled}
-	case len(g.frames)+1 >= g.want:
-		next.Finish = g.finish
+	case len(g.frames)+1 >= g.outputTokens:
+		next.Finish = g.finishReason
 	}
 	if next.Finish != "" {
 		next.PromptTokens = tokens.Estimate(g.prompt)
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -7,7 +7,7 @@
 	"github.com/basilroute/basilroute/protocol/tokens"
 )
 
-// maxEvents bounds how many cache events are kept for readers.
+// maxEvents limits how many cache events are kept for readers.
 const maxEvents = 4096
 
 // prefixCache is a least-recently-used set of prompt blocks.
@@ -28,13 +28,14 @@
 	}
 }
 
-// use returns how many leading blocks were cached and stores all of them.
+// use returns how many leading blocks were cached, and stores all of them as the most
+// recently used.
 func (c *prefixCache) use(blocks []tokens.Block) int {
 	cached := 0
 	for cached < len(blocks) && c.blocks[blocks[cached]] != nil {
 		cached++
 	}
-	for i := len(blocks) - 1; i >= 0; i-- { // the first block is to be evicted last
+	for i := len(blocks) - 1; i >= 0; i-- { // touched last, the first block is evicted last
 		c.touch(blocks[i])
 	}
 	for c.order.Len() > c.capacity {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in of a model engine: continuous batches with a
-// cost for each prompt and output token, a prefix cache in limited memory,
-// priorities, cancel, resume, late and gappy cache events, lagging load, and
+// Package engine is a stand-in for a model engine: continuous batching with a
+// cost for each prompt and output token, a prefix cache of limited size,
+// priorities, cancel, resume, cache events with gaps, delayed load reports, and
 // orders with fencing numbers. Faults can be injected.
 package engine
 
@@ -16,13 +16,13 @@
 // Config sets an engine's speed and memory.
 type Config struct {
 	Version         string
-	MaxBatch        int           // generations in a step
+	MaxBatch        int           // maximum of generations in a step
 	PrefillRate     float64       // prompt tokens per second
 	StepBase        time.Duration // of every step
 	StepPerSequence time.Duration // for each running generation
-	CacheBlocks     int           // prompt blocks that memory holds
-	OutputTokens    int           // answer length; the request's limit when 0
-	RestartAfter    time.Duration // after a crash
+	CacheBlocks     int           // capacity of the prefix cache, in prompt blocks
+	OutputTokens    int           // length of the output; 0 for the request's limit
+	RestartAfter    time.Duration // downtime after a crash
 }
 
 // DefaultConfig is a small, fast engine.
@@ -40,16 +40,16 @@
 
 // Faults are the failures to inject.
 type Faults struct {
-	Delay               time.Duration `json:"delay"`            // before each answer begins, nanoseconds in JSON
-	CrashOn             string        `json:"crash_on"`         // a prompt that holds this text crashes the engine
-	ResetAfterRead      int           `json:"reset_after_read"` // the next requests start, then lose their connection
-	CutAfter            int64         `json:"cut_after"`        // connections end after this many frames; 0 is off
-	MaxCuts             int           `json:"cut_times"`        // how often CutAfter strikes
-	ForeignFrames       bool          `json:"cross_frames"`     // frames of another request are mixed in
+	Delay               time.Duration `json:"delay"`            // before each response starts, nanoseconds in JSON
+	CrashOn             string        `json:"crash_on"`         // a prompt that contains this text crashes the engine
+	ResetAfterRead      int           `json:"reset_after_read"` // the next requests start, then their connection is reset
+	CutAfter            int64         `json:"cut_after"`        // connections are closed after this many frames; 0 is off
+	MaxCuts             int           `json:"cut_times"`        // how often CutAfter applies
+	ForeignFrames       bool          `json:"cross_frames"`     // frames with the id of another request are mixed in
 	RepeatFrames        bool          `json:"repeat_frames"`    // every frame is sent twice
-	IgnoreFencing       bool          `json:"ignore_fencing"`   // old orders are obeyed
+	IgnoreFencing       bool          `json:"ignore_fencing"`   // orders with an outdated fencing number are accepted
 	LoadLag             time.Duration `json:"load_lag"`         // age of load reports, nanoseconds in JSON
-	DropCacheEventEvery int64         `json:"event_gap"`        // every n-th cache event is missing; 0 is off
+	DropCacheEventEvery int64         `json:"event_gap"`        // every n-th cache event is dropped; 0 is off
 	Leaving             bool          `json:"leaving"`          // reports itself as leaving
 }
 
@@ -73,27 +73,27 @@
 type Engine struct {
 	config Config
 
-	mu          sync.Mutex
-	work        *sync.Cond
-	bootID      string
-	downUntil   time.Time
-	faults      Faults
-	generations map[string]*generation
-	waiting     []*generation
-	running     []*generation
-	cache       *prefixCache
-	loads       []loadSample
-	state       engineapi.EngineState
-	stepTime    time.Duration
-	busy        time.Duration
-	prefilled   int64
-	generated   int64
-	started     int64
-	cancels     int64
-	crashes     int64
-	keysSeen    int64
-	closed      bool
-	stopped     chan struct{}
+	mu            sync.Mutex
+	workAvailable *sync.Cond
+	bootID        string
+	downUntil     time.Time
+	faults        Faults
+	generations   map[string]*generation
+	waiting       []*generation
+	running       []*generation
+	cache         *prefixCache
+	loads         []loadSample
+	state         engineapi.EngineState
+	stepTime      time.Duration
+	busy          time.Duration
+	prefilled     int64
+	generated     int64
+	started       int64
+	cancels       int64
+	crashes       int64
+	keysSeen      int64
+	closed        bool
+	stopped       chan struct{}
 }
 
 // New starts an engine.
@@ -106,16 +106,16 @@
 		state:       engineapi.EngineState{Version: config.Version},
 		stopped:     make(chan struct{}),
 	}
-	e.work = sync.NewCond(&e.mu)
+	e.workAvailable = sync.NewCond(&e.mu)
 	go e.run()
 	return e
 }
 
-// Close stops the engine's steps. Generations that run get no further frame.
+// Close stops the engine's steps. Running generations get no further frames.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	e.closed = true
-	e.work.Broadcast()
+	e.workAvailable.Broadcast()
 	e.mu.Unlock()
 	<-e.stopped
 }
@@ -137,14 +137,16 @@
 	}
 }
 
-// Crash ends the engine as a process that dies, and starts it again after a while.
+// Crash simulates a crash of the engine's process and its restart after
+// Config.RestartAfter.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crash()
 }
 
-// crash forgets everything, as a process that died would, and stays away for a while.
+// crash discards all state, as the end of a process would, and keeps the engine down for
+// Config.RestartAfter. The caller holds mu.
 func (e *Engine) crash() {
 	e.crashes++
 	e.bootID = uuid.NewString()
@@ -162,7 +164,7 @@
 
 func (e *Engine) down() bool { return time.Now().Before(e.downUntil) }
 
-// maxLoadSamples bounds the load reports kept for LoadLag.
+// maxLoadSamples limits the load reports that are kept for LoadLag.
 const maxLoadSamples = 512
 
 func (e *Engine) snapshotLoad(now time.Time) {
@@ -188,7 +190,7 @@
 	return load
 }
 
-// reportedLoad is the newest report that is at least LoadLag old.
+// reportedLoad returns the newest load report that is at least LoadLag old.
 func (e *Engine) reportedLoad(now time.Time) engineapi.Load {
 	if e.faults.LoadLag == 0 {
 		return e.currentLoad()
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -22,7 +22,7 @@
 		return nil, errors.Wrap(err, "engine stand-in")
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", e.front(httpstream.FlushHandler(api)))
+	mux.Handle("/v1/", e.intercept(httpstream.FlushHandler(api)))
 	mux.HandleFunc("PUT /admin/faults", func(w http.ResponseWriter, r *http.Request) {
 		var faults Faults
 		if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
@@ -38,8 +38,9 @@
 	return mux, nil
 }
 
-// front drops connections while the engine is down and looks for callers' keys.
-func (e *Engine) front(next http.Handler) http.Handler {
+// intercept drops connections while the engine is down, and counts requests that carry a
+// caller's key.
+func (e *Engine) intercept(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
 		down := e.down()
@@ -87,12 +88,12 @@
 	}}, nil
 }
 
-// begin starts a generation or finds the one to resume.
+// begin starts a generation, or returns the existing one to resume.
 func (e *Engine) begin(req *engineapi.GenerateRequest) (*generation, Faults, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	faults := e.faults
-	if e.down() { // it was read before the process died: the dead run nothing, and die once
+	if e.down() { // the request was read before the crash: a crashed engine runs nothing and must not crash again
 		panic(http.ErrAbortHandler)
 	}
 	if faults.CrashOn != "" && strings.Contains(req.Prompt, faults.CrashOn) {
@@ -117,17 +118,17 @@
 
 func (e *Engine) enqueue(req *engineapi.GenerateRequest) *generation {
 	g := &generation{
-		id: req.RequestID, attempt: req.Attempt, prompt: req.Prompt, mark: HashPrompt(req.Prompt), priority: req.Priority,
-		want: req.MaxTokens, finish: frame.FinishLength, changed: make(chan struct{}),
+		id: req.RequestID, attempt: req.Attempt, prompt: req.Prompt, promptHash: HashPrompt(req.Prompt), priority: req.Priority,
+		outputTokens: req.MaxTokens, finishReason: frame.FinishLength, changed: make(chan struct{}),
 	}
-	if e.config.OutputTokens > 0 && e.config.OutputTokens < g.want {
-		g.want, g.finish = e.config.OutputTokens, frame.FinishStop
+	if e.config.OutputTokens > 0 && e.config.OutputTokens < g.outputTokens {
+		g.outputTokens, g.finishReason = e.config.OutputTokens, frame.FinishStop
 	}
 	e.generations[g.id] = g
 	e.waiting = append(e.waiting, g)
 	e.started++
 	e.snapshotLoad(time.Now())
-	e.work.Broadcast()
+	e.workAvailable.Broadcast()
 	return g
 }
 
@@ -179,14 +180,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Fencing < e.state.Fencing && !e.faults.IgnoreFencing {
-		return nil, apiError(http.StatusConflict, engineapi.ErrorCodeStaleFencing, "a newer order was obeyed")
+		return nil, apiError(http.StatusConflict, engineapi.ErrorCodeStaleFencing, "an order with a newer fencing number was accepted")
 	}
 	e.state = engineapi.EngineState{Fencing: order.Fencing, Version: order.Version, Draining: order.Draining}
 	state := e.state
 	return &state, nil
 }
 
-// frameReader turns a generation's frames into lines, with the injected faults.
+// frameReader encodes a generation's frames as lines and applies the injected faults.
 type frameReader struct {
 	ctx        context.Context
 	engine     *Engine
@@ -215,13 +216,13 @@
 
 func (r *frameReader) fill() error {
 	for {
-		part, changed, done := r.poll()
-		if part != nil {
-			r.encode(part)
+		next, changed, done := r.nextFrame()
+		if next != nil {
+			r.encode(next)
 			return nil
 		}
 		if done {
-			panic(http.ErrAbortHandler) // the engine crashed under the stream
+			panic(http.ErrAbortHandler) // the engine crashed during the stream
 		}
 		select {
 		case <-changed:
@@ -231,36 +232,36 @@
 	}
 }
 
-func (r *frameReader) poll() (*frame.Frame, <-chan struct{}, bool) {
+func (r *frameReader) nextFrame() (*frame.Frame, <-chan struct{}, bool) {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
 	g := r.generation
 	if r.next < int64(len(g.frames)) {
-		part := g.frames[r.next]
-		return &part, nil, false
+		next := g.frames[r.next]
+		return &next, nil, false
 	}
 	return nil, g.changed, g.done
 }
 
-func (r *frameReader) encode(part *frame.Frame) {
-	if r.faults.CutAfter > 0 && r.sent >= r.faults.CutAfter && r.cut() {
+func (r *frameReader) encode(f *frame.Frame) {
+	if r.faults.CutAfter > 0 && r.sent >= r.faults.CutAfter && r.takeCut() {
 		panic(http.ErrAbortHandler)
 	}
 	if r.faults.ForeignFrames {
-		foreign := *part
+		foreign := *f
 		foreign.RequestID, foreign.Text, foreign.Finish = "foreign", "not yours ", ""
 		r.pending = foreign.AppendLine(r.pending[:0])
 	}
-	r.pending = part.AppendLine(r.pending)
-	if r.faults.RepeatFrames && part.Finish == "" {
-		r.pending = part.AppendLine(r.pending)
+	r.pending = f.AppendLine(r.pending)
+	if r.faults.RepeatFrames && f.Finish == "" {
+		r.pending = f.AppendLine(r.pending)
 	}
 	r.next++
 	r.sent++
-	r.finished = part.Finish != ""
+	r.finished = f.Finish != ""
 }
 
-func (r *frameReader) cut() bool {
+func (r *frameReader) takeCut() bool {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
 	if r.engine.faults.MaxCuts <= 0 {
--- a/standin/link/conn.go
+++ b/standin/link/conn.go
@@ -10,18 +10,18 @@
 
 // pipe is one direction of a connection.
 type pipe struct {
-	from, to *line
-	segments chan []byte
-	closed   chan struct{}
-	once     sync.Once
-	rest     []byte // of a segment that was read in part
-	late     deadline
+	from, to     *direction
+	segments     chan []byte
+	closed       chan struct{}
+	once         sync.Once
+	unread       []byte // the remainder of a segment that was read partially
+	readDeadline deadline
 }
 
-func newPipe(from, to *line) *pipe {
+func newPipe(from, to *direction) *pipe {
 	return &pipe{
-		from: from, to: to, segments: make(chan []byte, window), closed: make(chan struct{}),
-		late: deadline{passed: make(chan struct{})},
+		from: from, to: to, segments: make(chan []byte, windowSegments), closed: make(chan struct{}),
+		readDeadline: deadline{expired: make(chan struct{})},
 	}
 }
 
@@ -30,27 +30,27 @@
 func (p *pipe) write(b []byte) (int, error) {
 	written := 0
 	for len(b) > 0 {
-		part := b[:min(len(b), segment)]
-		arrives := p.from.reserve(len(part))
-		if far := p.to.reserve(len(part)); far.After(arrives) {
-			arrives = far
+		chunk := b[:min(len(b), segmentBytes)]
+		arrival := p.from.reserve(len(chunk))
+		if remote := p.to.reserve(len(chunk)); remote.After(arrival) {
+			arrival = remote
 		}
-		if !p.openUntil(arrives) {
+		if !p.waitOpen(arrival) {
 			return written, io.ErrClosedPipe
 		}
 		select {
-		case p.segments <- append([]byte(nil), part...):
+		case p.segments <- append([]byte(nil), chunk...):
 		case <-p.closed:
 			return written, io.ErrClosedPipe
 		}
-		b = b[len(part):]
-		written += len(part)
+		b = b[len(chunk):]
+		written += len(chunk)
 	}
 	return written, nil
 }
 
-// openUntil waits, and tells whether the pipe was not closed meanwhile.
-func (p *pipe) openUntil(at time.Time) bool {
+// waitOpen waits until a time, and reports whether the pipe was not closed before it.
+func (p *pipe) waitOpen(at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
 	select {
@@ -62,15 +62,15 @@
 }
 
 func (p *pipe) read(b []byte) (int, error) {
-	for len(p.rest) == 0 {
+	for len(p.unread) == 0 {
 		select {
-		case p.rest = <-p.segments:
+		case p.unread = <-p.segments:
 			continue
 		default:
 		}
 		select {
-		case p.rest = <-p.segments:
-		case <-p.late.wait():
+		case p.unread = <-p.segments:
+		case <-p.readDeadline.wait():
 			return 0, os.ErrDeadlineExceeded
 		case <-p.closed:
 			if len(p.segments) == 0 {
@@ -78,53 +78,54 @@
 			}
 		}
 	}
-	n := copy(b, p.rest)
-	p.rest = p.rest[n:]
+	n := copy(b, p.unread)
+	p.unread = p.unread[n:]
 	return n, nil
 }
 
-// deadline tells when reads are over.
+// deadline is a resettable read deadline.
 type deadline struct {
-	mu     sync.Mutex
-	timer  *time.Timer
-	passed chan struct{} // closed when it has passed
+	mu      sync.Mutex
+	timer   *time.Timer
+	expired chan struct{} // closed when the deadline has expired
 }
 
 func (d *deadline) wait() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.passed
+	return d.expired
 }
 
 func (d *deadline) set(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.timer != nil && !d.timer.Stop() {
-		<-d.passed // the timer closes it just now, or has
+		<-d.expired // the timer has fired: its function has closed the channel or is about to
 	}
 	d.timer = nil
 	left := time.Until(at)
 	if at.IsZero() || left > 0 {
 		select {
-		case <-d.passed:
-			d.passed = make(chan struct{})
+		case <-d.expired:
+			d.expired = make(chan struct{})
 		default:
 		}
 	}
-	switch passed := d.passed; {
+	switch expired := d.expired; {
 	case at.IsZero():
 	case left > 0:
-		d.timer = time.AfterFunc(left, func() { close(passed) })
+		d.timer = time.AfterFunc(left, func() { close(expired) })
 	default:
 		select {
-		case <-passed:
+		case <-expired:
 		default:
-			close(passed)
+			close(expired)
 		}
 	}
 }
 
-// conn implements net.Conn. Deadlines of writes are not kept: who writes ends by closing.
+// conn implements net.Conn. Write deadlines are ignored: a blocked write ends only when the
+// connection is closed.
 type conn struct {
 	read, write   *pipe
 	local, remote net.Addr
@@ -145,11 +146,11 @@
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
 func (c *conn) SetReadDeadline(at time.Time) error {
-	c.read.late.set(at)
+	c.read.readDeadline.set(at)
 	return nil
 }
 
-// addr is an address as its text.
+// addr implements net.Addr by an address in text form.
 type addr string
 
 func (addr) Network() string  { return "link" }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,6 +1,6 @@
-// Package link is a network in memory whose machines have links of a given rate. All
-// connections of a machine share its link, and nothing in it leaves the process, so that
-// a test in virtual time sees how long a transfer takes beside others.
+// Package link is an in-memory network whose machines have links of a given rate. All
+// connections of a machine share its link. No data leaves the process, so that a test in
+// virtual time can measure how long a transfer takes while others use the same link.
 package link
 
 import (
@@ -13,14 +13,15 @@
 )
 
 const (
-	// segment is what a connection sends at once, in bytes: connections that share a link take turns by it.
-	segment = 4 << 10
-	// window is how many segments may lie unread at the receiver.
-	window  = 16
-	backlog = 64 // connections that wait to be accepted
+	// segmentBytes is how much a connection sends at once. Connections that share a link
+	// alternate after each segment.
+	segmentBytes = 4 << 10
+	// windowSegments is the maximum of unread segments at the receiver.
+	windowSegments = 16
+	backlog        = 64 // maximum of connections that wait to be accepted
 )
 
-// errRefused is the error of a connection to an address at which nobody listens.
+// errRefused is returned for a connection to an address without a listener.
 var errRefused = errors.New("connection refused")
 
 // Network connects machines by address. It is safe for concurrent use.
@@ -36,16 +37,16 @@
 type Machine struct {
 	network *Network
 	address string
-	out, in line
+	out, in direction
 	accept  chan net.Conn
 	closed  chan struct{}
 	once    sync.Once
 }
 
-// Add adds a machine with a link of a rate in bytes a second, each way.
+// Add adds a machine with a link of the given rate in bytes per second, in each direction.
 func (n *Network) Add(address string, rate float64) *Machine {
 	m := &Machine{
-		network: n, address: address, out: line{rate: rate}, in: line{rate: rate},
+		network: n, address: address, out: direction{rate: rate}, in: direction{rate: rate},
 		accept: make(chan net.Conn, backlog), closed: make(chan struct{}),
 	}
 	n.mu.Lock()
@@ -62,19 +63,19 @@
 	if to == nil {
 		return nil, errors.Wrap(errRefused, address)
 	}
-	there, back := newPipe(&m.out, &to.in), newPipe(&to.out, &m.in)
-	far := &conn{read: there, write: back, local: addr(address), remote: addr(m.address)}
+	outbound, inbound := newPipe(&m.out, &to.in), newPipe(&to.out, &m.in)
+	remote := &conn{read: outbound, write: inbound, local: addr(address), remote: addr(m.address)}
 	select {
 	case <-to.closed:
 		return nil, errors.Wrap(errRefused, address)
-	case to.accept <- far:
+	case to.accept <- remote:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	return &conn{read: back, write: there, local: addr(m.address), remote: addr(address)}, nil
+	return &conn{read: inbound, write: outbound, local: addr(m.address), remote: addr(address)}, nil
 }
 
-// BytesSent returns the bytes that the machine's link has carried out.
+// BytesSent returns how many bytes the machine's outgoing link has carried, reserved ones included.
 func (m *Machine) BytesSent() int64 { return m.out.total() }
 
 // Accept implements net.Listener.
@@ -87,7 +88,7 @@
 	}
 }
 
-// Close implements net.Listener. Connections go on.
+// Close implements net.Listener. Accepted connections stay open.
 func (m *Machine) Close() error {
 	m.once.Do(func() { close(m.closed) })
 	return nil
@@ -96,28 +97,29 @@
 // Addr implements net.Listener.
 func (m *Machine) Addr() net.Addr { return addr(m.address) }
 
-// line is one direction of a link.
-type line struct {
-	mu    sync.Mutex
-	rate  float64 // bytes a second
-	free  time.Time
-	bytes int64
+// direction is one direction of a link.
+type direction struct {
+	mu      sync.Mutex
+	rate    float64 // bytes per second
+	freeAt  time.Time
+	carried int64
 }
 
-// reserve returns when so many more bytes will have passed.
-func (l *line) reserve(bytes int) time.Time {
+// reserve queues the transfer of a number of bytes after those already reserved, and
+// returns when it will be complete.
+func (l *direction) reserve(bytes int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
-	l.bytes += int64(bytes)
-	return l.free
+	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
+	l.carried += int64(bytes)
+	return l.freeAt
 }
 
-func (l *line) total() int64 {
+func (l *direction) total() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.bytes
+	return l.carried
 }
--- a/standin/link/link_test.go
+++ b/standin/link/link_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Two transfers over one link take as long together as one of their sum.
+// Two concurrent transfers over one link take as long as a single transfer of their total size.
 func TestConnectionsShareALink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, size, transfers = 100 << 10, 100 << 10, 2
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,6 +1,6 @@
-// Package plain is a stand-in of a plain service. It counts how often each
+// Package plain is a stand-in for a plain service. It counts how often each
 // operation ran, by the field "id" of the request's body, so that a test can
-// prove that an operation ran at most once. Faults can be injected.
+// verify that an operation ran at most once. Faults can be injected.
 package plain
 
 import (
@@ -21,14 +21,14 @@
 // Faults are the failures to inject.
 type Faults struct {
 	Delay          time.Duration `json:"delay"`            // before an operation runs, nanoseconds in JSON
-	ResetAfterRead int           `json:"reset_after_read"` // the next requests are read, not run, and their connection reset
-	LoseResponses  int           `json:"lose_answers"`     // the next requests run and their answers are lost
+	ResetAfterRead int           `json:"reset_after_read"` // the next requests are read but not run, and their connection is reset
+	LoseResponses  int           `json:"lose_answers"`     // the next requests run, but their responses are lost
 	CrashOn        string        `json:"crash_on"`         // a body with this id crashes the service
-	RestartAfter   time.Duration `json:"restart_after"`    // after a crash, nanoseconds in JSON
-	Leaving        bool          `json:"leaving"`          // reports itself as leaving and refuses operations
+	RestartAfter   time.Duration `json:"restart_after"`    // downtime after a crash, nanoseconds in JSON
+	Leaving        bool          `json:"leaving"`          // reports itself as leaving and rejects operations
 }
 
-// Run identifies one operation on one body.
+// Run identifies an operation and the id in the body of its request.
 type Run struct {
 	Operation string
 	ID        string
@@ -80,7 +80,7 @@
 	return s.keysSeen
 }
 
-// LastVia returns the via token of the newest operation.
+// LastVia returns the via token of the most recent operation.
 func (s *Service) LastVia() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 		return nil, errors.Wrap(err, "plain stand-in")
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", s.front(api))
+	mux.Handle("/v1/", s.intercept(api))
 	mux.HandleFunc("PUT /admin/faults", func(w http.ResponseWriter, r *http.Request) {
 		var faults Faults
 		if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
@@ -114,7 +114,7 @@
 	return mux, nil
 }
 
-func (s *Service) front(next http.Handler) http.Handler {
+func (s *Service) intercept(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		down := time.Now().Before(s.downUntil)
@@ -152,11 +152,11 @@
 	}
 }
 
-type body struct {
+type requestBody struct {
 	ID string `json:"id"`
 }
 
-type answer struct {
+type responseBody struct {
 	Operation string `json:"operation"`
 	ID        string `json:"id"`
 	Account   string `json:"account"`
@@ -165,12 +165,12 @@
 
 // RunOperation implements plainapi.Handler.
 func (s *Service) RunOperation(ctx context.Context, req plainapi.AnyJSON, p plainapi.RunOperationParams) (plainapi.AnyJSON, error) {
-	var in body
+	var in requestBody
 	if err := json.Unmarshal(req, &in); err != nil {
 		return nil, errors.Wrap(err, "body")
 	}
-	faults := s.enter(in, p.XVia.Or(""))
-	defer s.leave()
+	faults := s.begin(in, p.XVia.Or(""))
+	defer s.finish()
 	if faults.Leaving {
 		return nil, errLeaving
 	}
@@ -181,12 +181,12 @@
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
-	return json.Marshal(answer{p.Operation, in.ID, p.XAccount, count})
+	return json.Marshal(responseBody{p.Operation, in.ID, p.XAccount, count})
 }
 
 var errLeaving = errors.New("leaving")
 
-func (s *Service) enter(in body, via string) Faults {
+func (s *Service) begin(in requestBody, via string) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastVia = via
@@ -199,7 +199,7 @@
 	return s.faults
 }
 
-func (s *Service) leave() {
+func (s *Service) finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -18,7 +18,7 @@
 type Faults struct {
 	Outage        bool          `json:"outage"`       // every call fails
 	Delay         time.Duration `json:"delay"`        // added to every call, nanoseconds in JSON
-	LoseResponses int           `json:"lose_answers"` // the next writes take effect, their answers are lost
+	LoseResponses int           `json:"lose_answers"` // the next writes take effect, but their responses are lost
 	ListLag       time.Duration `json:"list_lag"`     // age of the list of instances, nanoseconds in JSON
 }
 
@@ -34,9 +34,9 @@
 	directory map[string][]string
 }
 
-// listVersion is the list of instances as it stood from a time on.
+// listVersion is the list of instances as it was from a point in time on.
 type listVersion struct {
-	from      time.Time
+	validFrom time.Time
 	instances []platformapi.Instance
 }
 
@@ -75,7 +75,7 @@
 	s.recordList()
 }
 
-// RemoveInstance takes an instance off the list.
+// RemoveInstance removes an instance from the list.
 func (s *Server) RemoveInstance(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 // Snapshot copies the key-value service's content.
 func (s *Server) Snapshot() Snapshot { return s.store.snapshot() }
 
-// Restore puts an older content back, as a service restored from a backup would.
+// Restore replaces the content by an older one, as a service restored from a backup would.
 func (s *Server) Restore(from Snapshot) { s.store.restore(from) }
 
 // Handler serves the platform's API, and /admin/ for injecting faults.
@@ -121,8 +121,8 @@
 	}
 }
 
-// begin counts the call and applies the faults that come before it.
-func (s *Server) begin(ctx context.Context, operation string) error {
+// beginCall counts the call and applies the delay and the outage that are injected.
+func (s *Server) beginCall(ctx context.Context, operation string) error {
 	s.mu.Lock()
 	s.calls[operation]++
 	faults := s.faults
@@ -140,7 +140,8 @@
 	return nil
 }
 
-// finishWrite loses the answer of a write that took effect when that is injected.
+// finishWrite aborts the connection of a write that took effect, if a lost response is
+// injected.
 func (s *Server) finishWrite() {
 	s.mu.Lock()
 	lose := s.faults.LoseResponses > 0
@@ -171,7 +172,7 @@
 
 // GetKey implements platformapi.Handler.
 func (s *Server) GetKey(ctx context.Context, p platformapi.GetKeyParams) (*platformapi.KeyValue, error) {
-	if err := s.begin(ctx, "get"); err != nil {
+	if err := s.beginCall(ctx, "get"); err != nil {
 		return nil, err
 	}
 	e, ok := s.store.get(p.Key)
@@ -184,7 +185,7 @@
 
 // PutKey implements platformapi.Handler.
 func (s *Server) PutKey(ctx context.Context, req *platformapi.PutRequest) (*platformapi.PutResult, error) {
-	if err := s.begin(ctx, "put"); err != nil {
+	if err := s.beginCall(ctx, "put"); err != nil {
 		return nil, err
 	}
 	e, code := s.store.put(req)
@@ -193,7 +194,7 @@
 		s.finishWrite()
 		return &platformapi.PutResult{Revision: e.revision}, nil
 	case platformapi.ErrorCodeConflict:
-		refused := apiError(http.StatusConflict, code, "the revision is another")
+		refused := apiError(http.StatusConflict, code, "the key has another revision")
 		refused.Response.Current = platformapi.NewOptKeyValue(e.keyValue(req.Key))
 		return nil, refused
 	default:
@@ -203,7 +204,7 @@
 
 // ListKeys implements platformapi.Handler.
 func (s *Server) ListKeys(ctx context.Context, p platformapi.ListKeysParams) (*platformapi.KeyList, error) {
-	if err := s.begin(ctx, "list"); err != nil {
+	if err := s.beginCall(ctx, "list"); err != nil {
 		return nil, err
 	}
 	list, _ := s.store.list(p.Prefix, p.After.Or(0))
@@ -212,7 +213,7 @@
 
 // WatchKeys implements platformapi.Handler.
 func (s *Server) WatchKeys(ctx context.Context, p platformapi.WatchKeysParams) (*platformapi.KeyList, error) {
-	if err := s.begin(ctx, "watch"); err != nil {
+	if err := s.beginCall(ctx, "watch"); err != nil {
 		return nil, err
 	}
 	end := time.NewTimer(time.Duration(p.WaitMs) * time.Millisecond)
@@ -234,17 +235,17 @@
 
 // GrantLease implements platformapi.Handler.
 func (s *Server) GrantLease(ctx context.Context, req *platformapi.LeaseRequest) (*platformapi.Lease, error) {
-	if err := s.begin(ctx, "lease"); err != nil {
+	if err := s.beginCall(ctx, "lease"); err != nil {
 		return nil, err
 	}
-	id := s.store.grant(time.Duration(req.TTLMs) * time.Millisecond)
+	id := s.store.grantLease(time.Duration(req.TTLMs) * time.Millisecond)
 	s.finishWrite()
 	return &platformapi.Lease{ID: id, TTLMs: req.TTLMs}, nil
 }
 
 // KeepAlive implements platformapi.Handler.
 func (s *Server) KeepAlive(ctx context.Context, p platformapi.KeepAliveParams) (*platformapi.Lease, error) {
-	if err := s.begin(ctx, "keepalive"); err != nil {
+	if err := s.beginCall(ctx, "keepalive"); err != nil {
 		return nil, err
 	}
 	ttl, ok := s.store.keepAlive(p.ID)
@@ -257,10 +258,10 @@
 
 // RevokeLease implements platformapi.Handler.
 func (s *Server) RevokeLease(ctx context.Context, p platformapi.RevokeLeaseParams) error {
-	if err := s.begin(ctx, "revoke"); err != nil {
+	if err := s.beginCall(ctx, "revoke"); err != nil {
 		return err
 	}
-	if !s.store.end(p.ID) {
+	if !s.store.endLease(p.ID) {
 		return apiError(http.StatusNotFound, platformapi.ErrorCodeLeaseNotFound, "the lease has ended")
 	}
 	s.finishWrite()
@@ -269,24 +270,24 @@
 
 // ListInstances implements platformapi.Handler.
 func (s *Server) ListInstances(ctx context.Context) ([]platformapi.Instance, error) {
-	if err := s.begin(ctx, "instances"); err != nil {
+	if err := s.beginCall(ctx, "instances"); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cutoff := time.Now().Add(-s.faults.ListLag)
-	seen := []platformapi.Instance{}
+	visible := []platformapi.Instance{}
 	for _, version := range s.history {
-		if !version.from.After(cutoff) {
-			seen = version.instances
+		if !version.validFrom.After(cutoff) {
+			visible = version.instances
 		}
 	}
-	return seen, nil
+	return visible, nil
 }
 
 // GetDirectory implements platformapi.Handler.
 func (s *Server) GetDirectory(ctx context.Context, p platformapi.GetDirectoryParams) ([]string, error) {
-	if err := s.begin(ctx, "directory"); err != nil {
+	if err := s.beginCall(ctx, "directory"); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -296,7 +297,7 @@
 
 // PutDirectory implements platformapi.Handler.
 func (s *Server) PutDirectory(ctx context.Context, addresses []string, p platformapi.PutDirectoryParams) error {
-	if err := s.begin(ctx, "directory"); err != nil {
+	if err := s.beginCall(ctx, "directory"); err != nil {
 		return err
 	}
 	s.mu.Lock()
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -1,7 +1,7 @@
-// Package platform is a stand-in of the platform's services, for tests, the
+// Package platform is a stand-in for the platform's services, for tests, the
 // demo and experiments: the key-value service with compare-and-swap, leases and
-// long-poll watches, the lagging list of instances, and the directory. Faults
-// can be injected and calls are counted.
+// long-poll watches, the list of instances with a configurable lag, and the directory.
+// Faults can be injected and calls are counted.
 package platform
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/basilroute/basilroute/protocol/platformapi"
 )
 
-// MaxValueBytes is the largest value the service takes.
+// MaxValueBytes is the size of the largest value that the service accepts.
 const MaxValueBytes = 1 << 20
 
 type entry struct {
@@ -29,7 +29,7 @@
 	timer *time.Timer
 }
 
-// store is the key-value part. Deleted keys stay as markers, so that a watch
+// store is the key-value service. Deleted keys stay as tombstones, so that a watch
 // from any revision sees the deletion.
 type store struct {
 	mu        sync.Mutex
@@ -65,8 +65,8 @@
 	return e, ok && !e.deleted
 }
 
-// put writes when the key's revision is the expected one and returns the entry
-// that stands afterwards.
+// put writes if the key's revision is the expected one. It returns the entry that is
+// stored afterwards.
 func (s *store) put(req *platformapi.PutRequest) (entry, platformapi.ErrorCode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,12 +115,12 @@
 	return list, s.changed
 }
 
-func (s *store) grant(ttl time.Duration) int64 {
+func (s *store) grantLease(ttl time.Duration) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextLease++
 	id := s.nextLease
-	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.end(id) })}
+	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.endLease(id) })}
 	return id
 }
 
@@ -135,8 +135,8 @@
 	return l.ttl, true
 }
 
-// end removes a lease and every key that it holds.
-func (s *store) end(id int64) bool {
+// endLease removes a lease and deletes every key attached to it.
+func (s *store) endLease(id int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, ok := s.leases[id]
