--- a/localfleet/badinput_test.go
+++ b/localfleet/badinput_test.go
@@ -18,14 +18,14 @@
 
 const startLimit = time.Minute // reached only when a test fails
 
-// single is a fleet of one instance, one engine and one plain service.
-type single struct {
+// singleFleet is a fleet of one instance, one engine and one plain service.
+type singleFleet struct {
 	*Fleet
 	t        *testing.T
 	url, key string
 }
 
-func startSingle(t *testing.T) *single {
+func startSingle(t *testing.T) *singleFleet {
 	t.Helper()
 	fleet, err := Start(Config{
 		Domains:      []Domain{{Region: "suva-a", Name: "suva-a-1", Instances: 1, Engines: 1, PlainServers: 1}},
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	callers, _, _ := fleet.Instances[fleet.StartOrder[0]].Addresses()
-	return &single{Fleet: fleet, t: t, url: "http://" + callers, key: presented}
+	return &singleFleet{Fleet: fleet, t: t, url: "http://" + callers, key: presented}
 }
 
 type request struct {
@@ -64,7 +64,7 @@
 	headers                 map[string]string
 }
 
-func (s *single) send(r request) (int, http.Header, []byte) {
+func (s *singleFleet) send(r request) (int, http.Header, []byte) {
 	s.t.Helper()
 	req, err := http.NewRequestWithContext(s.t.Context(), r.method, s.url+r.path, strings.NewReader(r.body))
 	if err != nil {
@@ -95,9 +95,9 @@
 	withdraw    = "/v1/services/recall-ledger/operations/withdraw-batch"
 )
 
-// A caller that sends something wrong gets a typed refusal that says what is
-// wrong and that nothing ran, and that is true: no backend server saw a request,
-// and the same instance goes on serving.
+// An invalid request gets a typed refusal that names the fault and reports that
+// nothing ran. No backend server receives the request, and the instance continues
+// to serve.
 func TestBadInputIsRefusedAndRunsNothing(t *testing.T) {
 	s := startSingle(t)
 	good := `{"model":"notice-writer","prompt":"x","max_tokens":2}`
@@ -164,6 +164,6 @@
 		}
 	}
 	if status, _, body := s.send(post(completions, good)); status != http.StatusOK {
-		t.Errorf("a good request after the bad ones: %d %s", status, body)
+		t.Errorf("a valid request after the invalid ones: %d %s", status, body)
 	}
 }
--- a/localfleet/idle_bench_test.go
+++ b/localfleet/idle_bench_test.go
@@ -12,9 +12,9 @@
 	"github.com/basilroute/basilroute/standin/engine"
 )
 
-// BenchmarkSizeIdleInstance reports what control costs an instance without
-// callers, over the number of instances: exchanges, polls of six engines a failure
-// domain, slots, watches. The stand-ins' side is in it. Use -benchtime 1x.
+// BenchmarkSizeIdleInstance reports the CPU time and memory of an instance without
+// callers, by the number of instances: exchanges, polls of six engines per failure
+// domain, slots and watches. The cost of the stand-ins is included. Use -benchtime 1x.
 func BenchmarkSizeIdleInstance(b *testing.B) {
 	for _, n := range []int{4, 8, 16, 32} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -27,7 +27,7 @@
 			used := cpuTime() - cpu
 			perSecond := float64(used.Milliseconds()) / idleWindow.Seconds() / float64(b.N) / float64(n)
 			b.ReportMetric(perSecond, "cpu-ms/s/instance")
-			b.ReportMetric(inUse()/float64(n), "live-B/instance")
+			b.ReportMetric(memoryInUse()/float64(n), "live-B/instance")
 			runtime.KeepAlive(f)
 		})
 	}
--- a/localfleet/localfleet.go
+++ b/localfleet/localfleet.go
@@ -1,4 +1,4 @@
-// Package localfleet runs a whole deployment in one process: the stand-ins of
+// Package localfleet runs a complete deployment in one process: stand-ins for
 // the platform and the backend servers, and entry instances in several regions,
 // all on loopback. The demo and the tests use it.
 package localfleet
@@ -25,7 +25,7 @@
 	transport "github.com/basilroute/basilroute/transport/platform"
 )
 
-// OperatorToken is what operators present to instances of a local fleet.
+// OperatorToken is the operators' bearer token for the instances of a local fleet.
 const OperatorToken = "local-operator"
 
 // Domain is a failure domain to run.
@@ -97,11 +97,11 @@
 	return nil
 }
 
-// serve listens on a free port of loopback and returns the base URL.
+// serve serves the handler on a free loopback port and returns its base URL.
 func (f *Fleet) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", errors.Wrap(err, "stand-in")
+		return "", errors.Wrap(err, "listen for stand-in")
 	}
 	server := &http.Server{Handler: handler, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	f.mu.Lock()
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		if err := f.list(d, id, f.config.ModelService, f.config.Engine.Version, handler); err != nil {
+		if err := f.registerBackend(d, id, f.config.ModelService, f.config.Engine.Version, handler); err != nil {
 			return err
 		}
 	}
@@ -131,7 +131,7 @@
 		if err != nil {
 			return err
 		}
-		if err := f.list(d, id, f.config.PlainService, "v1", handler); err != nil {
+		if err := f.registerBackend(d, id, f.config.PlainService, "v1", handler); err != nil {
 			return err
 		}
 	}
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// list serves a backend server and puts it on the platform's list.
-func (f *Fleet) list(d Domain, id, name, version string, handler http.Handler) error {
+// registerBackend serves a backend server and adds it to the platform's list of instances.
+func (f *Fleet) registerBackend(d Domain, id, name, version string, handler http.Handler) error {
 	url, err := f.serve(handler)
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 	return s
 }
 
-// Apply writes a document to the store, in place of the one that stands.
+// Apply writes a document to the store and replaces the stored one, if any.
 func (f *Fleet) Apply(ctx context.Context, document string) error {
 	d, err := service.Parse("", []byte(document))
 	if err != nil {
@@ -207,29 +207,29 @@
 	return err
 }
 
-// Await waits until every instance that runs satisfies the condition.
-func (f *Fleet) Await(ctx context.Context, ok func(*instance.Instance) bool) error {
+// Await waits until every running instance satisfies the condition.
+func (f *Fleet) Await(ctx context.Context, condition func(*instance.Instance) bool) error {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		met := 0
+		satisfied := 0
 		for _, i := range f.Instances {
-			if ok(i) {
-				met++
+			if condition(i) {
+				satisfied++
 			}
 		}
-		if met == len(f.Instances) {
+		if satisfied == len(f.Instances) {
 			return nil
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "%d of %d instances", met, len(f.Instances))
+			return errors.Wrapf(ctx.Err(), "condition met by %d of %d instances", satisfied, len(f.Instances))
 		}
 	}
 }
 
-// Close ends everything at once.
+// Close kills the instances, without a graceful shutdown, and closes the stand-ins.
 func (f *Fleet) Close() {
 	for _, i := range f.Instances {
 		i.Kill()
--- a/localfleet/metrics_test.go
+++ b/localfleet/metrics_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// An operator sees from /metrics what the callers of an instance got: a streamed
-// answer with its first token, a refusal by its code, and the calls of the store.
-// No series names the client account.
+// The metrics of an instance show what its callers got: a streamed response with its
+// first token, a refusal by its code, and the calls to the store. No series names the
+// client account.
 func TestMetricsShowWhatCallersGot(t *testing.T) {
 	s := startSingle(t)
 	s.send(request{method: http.MethodPost, path: completions, key: s.key, body: `{"model":"notice-writer","prompt":"x","max_tokens":5,"stream":true}`})
@@ -40,7 +40,7 @@
 		"basilroute_requests_in_flight 0\n",
 	} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("no %s", want)
+			t.Errorf("metrics lack %s", want)
 		}
 	}
 	if strings.Contains(string(page), "suva-grocers") {
--- a/localfleet/poison_test.go
+++ b/localfleet/poison_test.go
@@ -17,15 +17,15 @@
 	"github.com/basilroute/basilroute/state/catalog"
 )
 
-// poison is a fleet whose engines crash, and the key of its account.
-type poison struct {
+// poisonFleet is a fleet whose engines crash on certain prompts, and the key of its account.
+type poisonFleet struct {
 	*Fleet
 	key string
 }
 
-// poisonFleet runs two regions with two instances and three engines each. Every
-// engine crashes on a prompt that holds "poison".
-func poisonFleet(t *testing.T) poison {
+// startPoisonFleet runs two regions with two instances and three engines each. Every
+// engine crashes on a prompt that contains "poison".
+func startPoisonFleet(t *testing.T) poisonFleet {
 	t.Helper()
 	config := engine.DefaultConfig()
 	config.StepBase = 5 * time.Millisecond
@@ -53,17 +53,19 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.Await(ctx, func(i *instance.Instance) bool { return i.Ready() && sees(i) && i.CanCharge("grocers", 100_000) }); err != nil {
+	if err := f.Await(ctx, func(i *instance.Instance) bool {
+		return i.Ready() && seesAllServers(i) && i.CanCharge("grocers", 100_000)
+	}); err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range f.Engines {
 		e.SetFaults(engine.Faults{CrashOn: "poison"})
 	}
-	return poison{f, key}
+	return poisonFleet{f, key}
 }
 
-// sees tells whether the instance knows usable servers here and in the other region.
-func sees(i *instance.Instance) bool {
+// seesAllServers reports whether the instance knows the three servers of each region.
+func seesAllServers(i *instance.Instance) bool {
 	if i.Local("notice-writer").Servers != 3 {
 		return false
 	}
@@ -76,7 +78,7 @@
 	return others == 3
 }
 
-type answer struct {
+type completionResult struct {
 	Status int
 	Code   string `json:"code"`
 	Run    string `json:"run"`
@@ -85,53 +87,52 @@
 	} `json:"usage"`
 }
 
-func (f poison) complete(i *instance.Instance, prompt string, maxTokens int) (answer, error) {
+func (f poisonFleet) complete(i *instance.Instance, prompt string, maxTokens int) (completionResult, error) {
 	callers, _, _ := i.Addresses()
 	body := fmt.Sprintf(`{"model":"notice-writer","prompt":%q,"max_tokens":%d}`, prompt, maxTokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+callers+"/v1/completions", strings.NewReader(body))
 	if err != nil {
-		return answer{}, err
+		return completionResult{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+f.key)
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{}, err
+		return completionResult{}, err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return answer{}, err
+		return completionResult{}, err
 	}
-	a := answer{Status: resp.StatusCode}
+	a := completionResult{Status: resp.StatusCode}
 	return a, json.Unmarshal(data, &a)
 }
 
-func (f poison) crashes() (total int64) {
+func (f poisonFleet) crashes() (total int64) {
 	for _, e := range f.Engines {
 		total += e.Stats().Crashes
 	}
 	return total
 }
 
-// A request crashes each engine that runs it. Its caller gets a refusal and sends
-// it again through every instance, one after the other. Others' requests run on
-// the engines that crash. The first crash makes the request a suspect, the second
-// is the last: all instances refuse it from then on, and every other request gets
-// its whole answer from another engine.
+// Guards against a request that crashes one engine after another. The caller retries it
+// through every instance in turn while requests of others run on the same engines. The first
+// crash makes the request a suspect; after the second, all instances refuse it. Every other
+// request gets its complete response from another engine.
 func TestPoisonRequestSentAgainThroughAllInstances(t *testing.T) {
-	f := poisonFleet(t)
-	var innocent sync.WaitGroup
+	f := startPoisonFleet(t)
+	var others sync.WaitGroup
 	for n := range 12 {
 		i := f.Instances[f.StartOrder[n%len(f.StartOrder)]]
-		innocent.Go(func() {
+		others.Go(func() {
 			a, err := f.complete(i, fmt.Sprintf("question %d", n), 60)
 			if err != nil || a.Status != http.StatusOK || a.Usage.CompletionTokens != 60 {
-				t.Errorf("innocent request %d: %+v, %v", n, a, err)
+				t.Errorf("other request %d: %+v, %v", n, a, err)
 			}
 		})
 	}
-	var last answer
+	var last completionResult
 	for range 2 {
 		for _, id := range f.StartOrder {
 			var err error
@@ -140,21 +141,21 @@
 			}
 		}
 	}
-	innocent.Wait()
+	others.Wait()
 	if last.Code != "quarantined" {
-		t.Errorf("sent eight times, the last answer is %+v", last)
+		t.Errorf("last response after eight requests: %+v", last)
 	}
 	if got := f.crashes(); got > 2 {
 		t.Errorf("%d crashes from one fingerprint", got)
 	}
 }
 
-// The caller sends the request through every instance at the same moment. Copies
-// that are in flight before the news of the first crash may crash a server for
-// each instance, and the designated instance one more while it knows of one crash
-// only. Afterwards every instance refuses the request.
+// The caller sends the request through every instance concurrently. Copies in flight before
+// the first crash is known may crash one server per instance, and the designated instance may
+// crash one more while it knows of only one crash. Afterwards every instance refuses the
+// request.
 func TestPoisonRequestSentThroughAllInstancesAtOnce(t *testing.T) {
-	f := poisonFleet(t)
+	f := startPoisonFleet(t)
 	var copies sync.WaitGroup
 	for n := range 12 {
 		i := f.Instances[f.StartOrder[n%len(f.StartOrder)]]
@@ -176,15 +177,15 @@
 		}
 	}
 	if after := f.crashes(); after != before {
-		t.Errorf("%d crashes more after all copies were answered", after-before)
+		t.Errorf("%d more crashes after all copies were answered", after-before)
 	}
 }
 
-// Connections break while engines live: a generation that starts and loses its
-// connection is no crash. The request runs elsewhere, again and again, and is
-// never quarantined.
+// Guards against taking a lost connection for a crash. Generations start and lose their
+// connection while the engine keeps running; the requests are retried on other engines and
+// are never quarantined.
 func TestBrokenConnectionsAreNoCrash(t *testing.T) {
-	f := poisonFleet(t)
+	f := startPoisonFleet(t)
 	for range 4 {
 		for _, id := range []string{"suva-a-1-engine-1", "suva-a-1-engine-2", "labasa-a-1-engine-1"} {
 			f.Engines[id].SetFaults(engine.Faults{ResetAfterRead: 1})
--- a/localfleet/quota_test.go
+++ b/localfleet/quota_test.go
@@ -20,8 +20,9 @@
 
 const quotaAccount = "kind: account\nname: grocers\nrate: 3000\nburst: 9000\n"
 
-// threeInstances starts one failure domain whose three slots are held.
-func threeInstances(t *testing.T) *Fleet {
+// startThreeInstances starts a failure domain of three instances and waits until each holds
+// one slot.
+func startThreeInstances(t *testing.T) *Fleet {
 	f, err := Start(Config{
 		Domains:      []Domain{{Region: "suva-a", Name: "suva-a-1", Instances: 3}},
 		ModelService: "notice-writer", PlainService: "recall-ledger", Engine: engine.DefaultConfig(),
@@ -36,8 +37,8 @@
 			t.Fatal(err)
 		}
 	}
-	f.await(t, "one slot an instance", func() bool { return f.minting() == 3 && f.mostMinting() == 1 })
-	f.await(t, "both others in each list", func() bool { return f.shortestList() == 2 })
+	f.await(t, "one slot per instance", func() bool { return f.minting() == 3 && f.maxMinting() == 1 })
+	f.await(t, "both other instances in each list", func() bool { return f.minListLength() == 2 })
 	return f
 }
 
@@ -49,15 +50,15 @@
 	return total
 }
 
-func (f *Fleet) mostMinting() int {
-	most := 0
+func (f *Fleet) maxMinting() int {
+	highest := 0
 	for _, i := range f.Instances {
-		most = max(most, i.MintingSlots())
+		highest = max(highest, i.MintingSlots())
 	}
-	return most
+	return highest
 }
 
-func (f *Fleet) shortestList() int {
+func (f *Fleet) minListLength() int {
 	shortest := 2
 	for _, i := range f.Instances {
 		for _, r := range i.Dump().(instance.Dump).Slots {
@@ -67,12 +68,12 @@
 	return shortest
 }
 
-// await polls; it fails the test only after a long time.
-func (f *Fleet) await(t *testing.T, what string, ok func() bool) {
+// await polls until the condition holds, and fails the test after a minute.
+func (f *Fleet) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	if err := f.Await(ctx, func(*instance.Instance) bool { return ok() }); err != nil {
+	if err := f.Await(ctx, func(*instance.Instance) bool { return condition() }); err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 }
@@ -83,47 +84,47 @@
 	return i
 }
 
-// The store fails. The holders' leases of a second end, but callers go on being
-// admitted on every instance: the holders mint by each other's promises. Then one
-// of them is killed, and the other two still do.
+// Guards against an outage of the store that stops admission. The holders' leases of one
+// second expire, but the holders keep minting by each other's promises, and every instance
+// admits callers. They do so even after one holder is killed.
 func TestDomainServesWithoutStore(t *testing.T) {
 	t.Parallel()
-	f := threeInstances(t)
+	f := startThreeInstances(t)
 	f.Platform.SetFaults(platform.Faults{Outage: true})
-	for ended := time.Now().Add(4 * time.Second); time.Now().Before(ended); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f.minting() == 0 {
 			t.Fatal("no instance mints")
 		}
 	}
 	for id, i := range f.Instances {
 		if !i.CanCharge("grocers", 100) {
-			t.Errorf("%s affords nothing", id)
+			t.Errorf("%s cannot charge 100 tokens", id)
 		}
 	}
 	f.remove(f.StartOrder[0]).Kill()
-	f.await(t, "minting of the two that are left", func() bool { return f.minting() >= 1 })
+	f.await(t, "minting by the two remaining instances", func() bool { return f.minting() >= 1 })
 }
 
-// A holder is killed while the store runs. Its slot is taken by one that it listed
-// as soon as its lease has ended, so the account has its whole rate again.
+// A holder is killed while the store is reachable. When its lease has expired, an instance
+// on its list takes the slot, so that the account has its full rate again.
 func TestKilledHoldersSlotIsTaken(t *testing.T) {
 	t.Parallel()
-	f := threeInstances(t)
+	f := startThreeInstances(t)
 	f.remove(f.StartOrder[0]).Kill()
 	f.await(t, "three slots on two instances", func() bool { return f.minting() == 3 })
 }
 
-// A holder stops as planned and releases its slot. The others take it without
-// waiting for the lease, and a new instance is handed one.
+// A holder shuts down gracefully and releases its slot. Another instance takes it without
+// waiting for the lease to expire, and a joining instance is handed a slot.
 func TestStoppedHoldersSlotIsTaken(t *testing.T) {
 	t.Parallel()
-	f := threeInstances(t)
+	f := startThreeInstances(t)
 	if err := f.remove(f.StartOrder[0]).Stop(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "three slots on two instances", func() bool { return f.minting() == 3 })
-	if _, err := f.StartInstance(Domain{Region: "suva-a", Name: "suva-a-1"}, "newcomer"); err != nil {
+	if _, err := f.StartInstance(Domain{Region: "suva-a", Name: "suva-a-1"}, "joining"); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "a slot for the newcomer", func() bool { return f.minting() == 3 && f.mostMinting() == 1 })
+	f.await(t, "a slot for the joining instance", func() bool { return f.minting() == 3 && f.maxMinting() == 1 })
 }
--- a/localfleet/residency_test.go
+++ b/localfleet/residency_test.go
@@ -12,9 +12,9 @@
 	"github.com/basilroute/basilroute/state/catalog"
 )
 
-// The only server of a service stands in another region. An account that may run
-// anywhere is served there. One whose data must stay at home is refused as not
-// run, through the instance of either region, and no engine sees its prompt.
+// The only server of a service is in another region. An account without a home region
+// is served there. An account that is bound to its home region is refused by the
+// instances of both regions, as not run, and no engine receives its prompt.
 func TestRequestStaysInItsHomeRegion(t *testing.T) {
 	f, err := Start(Config{
 		Domains: []Domain{{Region: "suva-a", Name: "suva-a-1", Instances: 1}, {Region: "labasa-a", Name: "labasa-a-1", Instances: 1, Engines: 1}},
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	for id, i := range f.Instances {
-		if a, err := (poison{f, keys["bound"]}).complete(i, "bound to its home", 5); err != nil || a.Code != "no_server" || a.Run != "not_run" {
+		if a, err := (poisonFleet{f, keys["bound"]}).complete(i, "bound to its home", 5); err != nil || a.Code != "no_server" || a.Run != "not_run" {
 			t.Errorf("%s: bound account: %+v, %v", id, a, err)
 		}
 	}
@@ -57,7 +57,7 @@
 		t.Errorf("the engine of another region started %d requests", started)
 	}
 	for id, i := range f.Instances {
-		if a, err := (poison{f, keys["free"]}).complete(i, "free to run anywhere", 5); err != nil || a.Status != http.StatusOK {
+		if a, err := (poisonFleet{f, keys["free"]}).complete(i, "free to run anywhere", 5); err != nil || a.Status != http.StatusOK {
 			t.Errorf("%s: free account: %+v, %v", id, a, err)
 		}
 	}
--- a/localfleet/stream_bench_test.go
+++ b/localfleet/stream_bench_test.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	benchStreams = 200
-	benchPace    = 10 * time.Millisecond // between tokens of a stream, so that each is sent by itself
-	benchModel   = "bench-model"
+	benchStreams       = 200
+	benchTokenInterval = 10 * time.Millisecond // between tokens of a stream; long enough that each token is sent separately
+	benchModel         = "bench-model"
 )
 
-// pacedEngine answers generations with frames at a fixed pace and little work of
-// its own; everything else is answered by an engine stand-in.
+// pacedEngine serves generations at a fixed rate of frames and with little CPU time; all
+// other requests go to an engine stand-in.
 func pacedEngine(rest http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost || r.URL.Path != "/v1/generate" {
@@ -42,7 +42,7 @@
 			return
 		}
 		f := frame.Frame{RequestID: req.RequestID, Attempt: req.Attempt, Text: "token ", Tokens: 1}
-		ticker := time.NewTicker(benchPace)
+		ticker := time.NewTicker(benchTokenInterval)
 		defer ticker.Stop()
 		var line []byte
 		for ; f.Seq < int64(req.MaxTokens); f.Seq++ {
@@ -59,9 +59,10 @@
 	})
 }
 
-// benchFleet is an instance beside a paced engine and one that has to forward.
+// benchFleet has the URLs of a paced engine, of an instance in the engine's failure domain,
+// and of an instance that has to forward to it.
 type benchFleet struct {
-	engine, beside, away, key string
+	engineURL, localURL, remoteURL, key string
 }
 
 func startBench(b *testing.B) benchFleet {
@@ -80,7 +81,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := fleet.list(Domain{Region: "here", Name: "beside"}, "paced", benchModel, "v1", pacedEngine(handler)); err != nil {
+	if err := fleet.registerBackend(Domain{Region: "here", Name: "beside"}, "paced", benchModel, "v1", pacedEngine(handler)); err != nil {
 		b.Fatal(err)
 	}
 	presented, key := catalog.NewKey("bench-1")
@@ -105,7 +106,7 @@
 		callers, _, _ := fleet.Instances[id].Addresses()
 		return "http://" + callers
 	}
-	return benchFleet{engine: fleet.Backends["paced"], beside: url("beside-entry-1"), away: url("away-entry-1"), key: presented}
+	return benchFleet{engineURL: fleet.Backends["paced"], localURL: url("beside-entry-1"), remoteURL: url("away-entry-1"), key: presented}
 }
 
 func cpuTime() time.Duration {
@@ -114,9 +115,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// readStreams reads b.N tokens over many streams and reports what one token
-// cost the whole process: the paced engine and the reader are in it, so the cost
-// of the gateway is the difference to the direct streams of the same run.
+// readStreams reads b.N tokens over many streams and reports the cost per token of the
+// whole process. This includes the paced engine and the reader, so the cost of the gateway
+// is the difference from the direct streams of the same run.
 func readStreams(b *testing.B, open openFunc) {
 	transport := loadgen.NewTransport()
 	defer transport.CloseIdleConnections()
@@ -154,7 +155,7 @@
 	b.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/total, "B/token")
 }
 
-// openFunc makes the request of a stream of some tokens.
+// openFunc returns a request for a stream of the given number of tokens.
 type openFunc func(ctx context.Context, tokens int) (*http.Request, error)
 
 func (f benchFleet) post(ctx context.Context, url, body string) (*http.Request, error) {
@@ -167,26 +168,26 @@
 	return req, nil
 }
 
-// direct streams from the engine.
+// direct requests streams from the engine itself.
 func (f benchFleet) direct() openFunc {
 	return func(ctx context.Context, tokens int) (*http.Request, error) {
-		return f.post(ctx, f.engine+"/v1/generate",
+		return f.post(ctx, f.engineURL+"/v1/generate",
 			`{"request_id":"0193a1b2-7c1e-7f00-8000-0123456789ab","attempt":1,"account":"bench","prompt":"x","priority":0,"max_tokens":`+strconv.Itoa(tokens)+`}`)
 	}
 }
 
-// through streams through an instance.
-func (f benchFleet) through(url string) openFunc {
+// viaInstance requests streams through an instance.
+func (f benchFleet) viaInstance(url string) openFunc {
 	return func(ctx context.Context, tokens int) (*http.Request, error) {
 		return f.post(ctx, url+completions, `{"model":"bench-model","prompt":"x","stream":true,"max_tokens":`+strconv.Itoa(tokens)+`}`)
 	}
 }
 
-// BenchmarkStream measures the path of a token. Use -benchtime 200000x: each
+// BenchmarkStream measures the cost of forwarding a token. Use -benchtime 200000x: each
 // stream then has 1,000 tokens and runs for ten seconds.
 func BenchmarkStream(b *testing.B) {
 	f := startBench(b)
 	b.Run("direct", func(b *testing.B) { readStreams(b, f.direct()) })
-	b.Run("gateway", func(b *testing.B) { readStreams(b, f.through(f.beside)) })
-	b.Run("forwarded", func(b *testing.B) { readStreams(b, f.through(f.away)) })
+	b.Run("gateway", func(b *testing.B) { readStreams(b, f.viaInstance(f.localURL)) })
+	b.Run("forwarded", func(b *testing.B) { readStreams(b, f.viaInstance(f.remoteURL)) })
 }
