--- a/localfleet/poison_test.go
+++ b/localfleet/poison_test.go
@@ -17,15 +17,15 @@
 	"github.com/basilroute/basilroute/state/catalog"
 )
 
-// poisonFleet is a fleet whose engines crash on certain prompts, and the key of its account.
-type poisonFleet struct {
+// crashingFleet is a fleet whose engines crash on certain prompts, and the key of its account.
+type crashingFleet struct {
 	*Fleet
 	key string
 }
 
 // startPoisonFleet runs two regions with two instances and three engines each. Every
 // engine crashes on a prompt that contains "poison".
-func startPoisonFleet(t *testing.T) poisonFleet {
+func startPoisonFleet(t *testing.T) crashingFleet {
 	t.Helper()
 	config := engine.DefaultConfig()
 	config.StepBase = 5 * time.Millisecond
@@ -61,7 +61,7 @@
 	for _, e := range f.Engines {
 		e.SetFaults(engine.Faults{CrashOn: "poison"})
 	}
-	return poisonFleet{f, key}
+	return crashingFleet{f, key}
 }
 
 // seesAllServers reports whether the instance knows the three servers of each region.
@@ -87,7 +87,7 @@
 	} `json:"usage"`
 }
 
-func (f poisonFleet) complete(i *instance.Instance, prompt string, maxTokens int) (completionResult, error) {
+func (f crashingFleet) complete(i *instance.Instance, prompt string, maxTokens int) (completionResult, error) {
 	callers, _, _ := i.Addresses()
 	body := fmt.Sprintf(`{"model":"notice-writer","prompt":%q,"max_tokens":%d}`, prompt, maxTokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+callers+"/v1/completions", strings.NewReader(body))
@@ -109,7 +109,7 @@
 	return a, json.Unmarshal(data, &a)
 }
 
-func (f poisonFleet) crashes() (total int64) {
+func (f crashingFleet) crashes() (total int64) {
 	for _, e := range f.Engines {
 		total += e.Stats().Crashes
 	}
--- a/localfleet/residency_test.go
+++ b/localfleet/residency_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	for id, i := range f.Instances {
-		if a, err := (poisonFleet{f, keys["bound"]}).complete(i, "bound to its home", 5); err != nil || a.Code != "no_server" || a.Run != "not_run" {
+		if a, err := (crashingFleet{f, keys["bound"]}).complete(i, "bound to its home", 5); err != nil || a.Code != "no_server" || a.Run != "not_run" {
 			t.Errorf("%s: bound account: %+v, %v", id, a, err)
 		}
 	}
@@ -57,7 +57,7 @@
 		t.Errorf("the engine of another region started %d requests", started)
 	}
 	for id, i := range f.Instances {
-		if a, err := (poisonFleet{f, keys["free"]}).complete(i, "free to run anywhere", 5); err != nil || a.Status != http.StatusOK {
+		if a, err := (crashingFleet{f, keys["free"]}).complete(i, "free to run anywhere", 5); err != nil || a.Status != http.StatusOK {
 			t.Errorf("%s: free account: %+v, %v", id, a, err)
 		}
 	}
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -216,9 +216,9 @@
 
 func (r *frameReader) fill() error {
 	for {
-		next, changed, done := r.nextFrame()
-		if next != nil {
-			r.encode(next)
+		f, changed, done := r.nextFrame()
+		if f != nil {
+			r.encode(f)
 			return nil
 		}
 		if done {
@@ -237,8 +237,8 @@
 	defer r.engine.mu.Unlock()
 	g := r.generation
 	if r.next < int64(len(g.frames)) {
-		next := g.frames[r.next]
-		return &next, nil, false
+		f := g.frames[r.next]
+		return &f, nil, false
 	}
 	return nil, g.changed, g.done
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -64,11 +64,11 @@
 		return nil, errors.Wrap(errRefused, address)
 	}
 	outbound, inbound := newPipe(&m.out, &to.in), newPipe(&to.out, &m.in)
-	remote := &conn{read: outbound, write: inbound, local: addr(address), remote: addr(m.address)}
+	accepted := &conn{read: outbound, write: inbound, local: addr(address), remote: addr(m.address)}
 	select {
 	case <-to.closed:
 		return nil, errors.Wrap(errRefused, address)
-	case to.accept <- remote:
+	case to.accept <- accepted:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
