--- a/localfleet/poison_test.go
+++ b/localfleet/poison_test.go
@@ -64,7 +64,8 @@
 	return crashingFleet{f, key}
 }
 
-// seesAllServers reports whether the instance knows the three servers of each region.
+// seesAllServers reports whether the instance sees three usable servers itself and three at each
+// of the three other instances.
 func seesAllServers(i *instance.Instance) bool {
 	if i.Local("notice-writer").Servers != 3 {
 		return false
