--- a/loadgen/response.go
+++ b/loadgen/response.go
@@ -16,9 +16,9 @@
 // responseChecker compares a response with the tokens that the engine stand-in generates
 // for a prompt.
 type responseChecker struct {
-	promptHash      engine.PromptHash
-	nextToken int
-	mismatch  bool
+	promptHash engine.PromptHash
+	nextToken  int
+	mismatch   bool
 }
 
 func newResponseChecker(prompt string) *responseChecker {
--- a/protocol/refusal/refusal.go
+++ b/protocol/refusal/refusal.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// FromProto decodes a peer's refusal. An unrecognized run state is decoded as Unknown.
+// FromProto decodes a peer's refusal. An unrecognized run state is decoded as RunUnknown.
 func FromProto(p *peerpb.Refusal) *Refusal {
 	run := RunUnknown
 	for state, encoded := range runToProto {
