--- a/protocol/engineapi/oas_client_gen.go
+++ b/protocol/engineapi/oas_client_gen.go
@@ -31,7 +31,7 @@
 	Cancel(ctx context.Context, params CancelParams) error
 	// Generate invokes generate operation.
 	//
-	// Starts or resumes a generation. Answers with one JSON frame a line as tokens come.
+	// Starts or resumes a generation. Responds with one JSON frame per line as tokens are generated.
 	//
 	// POST /v1/generate
 	Generate(ctx context.Context, request *GenerateRequest) (GenerateOK, error)
@@ -210,7 +210,7 @@
 
 // Generate invokes generate operation.
 //
-// Starts or resumes a generation. Answers with one JSON frame a line as tokens come.
+// Starts or resumes a generation. Responds with one JSON frame per line as tokens are generated.
 //
 // POST /v1/generate
 func (c *Client) Generate(ctx context.Context, request *GenerateRequest) (GenerateOK, error) {
--- a/protocol/engineapi/oas_handlers_gen.go
+++ b/protocol/engineapi/oas_handlers_gen.go
@@ -216,7 +216,7 @@
 
 // handleGenerateRequest handles generate operation.
 //
-// Starts or resumes a generation. Answers with one JSON frame a line as tokens come.
+// Starts or resumes a generation. Responds with one JSON frame per line as tokens are generated.
 //
 // POST /v1/generate
 func (s *Server) handleGenerateRequest(args [0]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
--- a/protocol/engineapi/oas_schemas_gen.go
+++ b/protocol/engineapi/oas_schemas_gen.go
@@ -268,11 +268,11 @@
 	Version   OptString `json:"version"`
 	Prompt    string    `json:"prompt"`
 	MaxTokens int       `json:"max_tokens"`
-	// Lower runs first.
+	// Requests with a lower value run first.
 	Priority int `json:"priority"`
-	// First frame wanted. Above 0 resumes a running or finished generation.
+	// First frame to send. A value above 0 resumes a running or finished generation.
 	FromSeq OptInt64 `json:"from_seq"`
-	// Opaque token to pass on with calls that the engine makes through the gateway.
+	// Opaque token to send with calls that the engine makes through the gateway.
 	Via OptString `json:"via"`
 }
 
@@ -376,7 +376,7 @@
 	PrefillRate float64 `json:"prefill_rate"`
 	// Output tokens per second over all running generations.
 	DecodeRate float64 `json:"decode_rate"`
-	// Share of cache memory in use.
+	// Fraction of cache memory in use.
 	CacheUsed float64 `json:"cache_used"`
 	Leaving   bool    `json:"leaving"`
 }
--- a/protocol/engineapi/oas_server_gen.go
+++ b/protocol/engineapi/oas_server_gen.go
@@ -18,7 +18,7 @@
 	Cancel(ctx context.Context, params CancelParams) error
 	// Generate implements generate operation.
 	//
-	// Starts or resumes a generation. Answers with one JSON frame a line as tokens come.
+	// Starts or resumes a generation. Responds with one JSON frame per line as tokens are generated.
 	//
 	// POST /v1/generate
 	Generate(ctx context.Context, req *GenerateRequest) (GenerateOK, error)
--- a/protocol/gatewayapi/oas_schemas_gen.go
+++ b/protocol/gatewayapi/oas_schemas_gen.go
@@ -130,7 +130,7 @@
 type ChatRequest struct {
 	Model    string    `json:"model"`
 	Messages []Message `json:"messages"`
-	// 256 when not given, or the limit of the service where that is lower.
+	// When absent, 256 or the limit of the service, whichever is lower.
 	MaxTokens OptInt  `json:"max_tokens"`
 	Stream    OptBool `json:"stream"`
 }
@@ -330,7 +330,7 @@
 type CompletionRequest struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
-	// 256 when not given, or the limit of the service where that is lower.
+	// When absent, 256 or the limit of the service, whichever is lower.
 	MaxTokens OptInt  `json:"max_tokens"`
 	Stream    OptBool `json:"stream"`
 }
--- a/protocol/operatorapi/oas_schemas_gen.go
+++ b/protocol/operatorapi/oas_schemas_gen.go
@@ -77,7 +77,7 @@
 	Incarnation    int64               `json:"incarnation"`
 	ConfigRevision int64               `json:"config_revision"`
 	AgeMs          int64               `json:"age_ms"`
-	// Keys of documents that the instance cannot take.
+	// Keys of documents that the instance cannot apply.
 	Rejected []string `json:"rejected"`
 }
 
--- a/protocol/platformapi/oas_client_gen.go
+++ b/protocol/platformapi/oas_client_gen.go
@@ -54,8 +54,8 @@
 	PutDirectory(ctx context.Context, request []string, params PutDirectoryParams) error
 	// PutKey invokes putKey operation.
 	//
-	// Writes a value when the key's revision is the expected one. Expectation 0 means the key must not
-	// exist.
+	// Writes a value when the key's revision is the expected one. An expected revision of 0 means that the
+	// key must not exist.
 	//
 	// PUT /v1/kv/entry
 	PutKey(ctx context.Context, request *PutRequest) (*PutResult, error)
@@ -513,8 +513,8 @@
 
 // PutKey invokes putKey operation.
 //
-// Writes a value when the key's revision is the expected one. Expectation 0 means the key must not
-// exist.
+// Writes a value when the key's revision is the expected one. An expected revision of 0 means that the
+// key must not exist.
 //
 // PUT /v1/kv/entry
 func (c *Client) PutKey(ctx context.Context, request *PutRequest) (*PutResult, error) {
--- a/protocol/platformapi/oas_handlers_gen.go
+++ b/protocol/platformapi/oas_handlers_gen.go
@@ -684,8 +684,8 @@
 
 // handlePutKeyRequest handles putKey operation.
 //
-// Writes a value when the key's revision is the expected one. Expectation 0 means the key must not
-// exist.
+// Writes a value when the key's revision is the expected one. An expected revision of 0 means that the
+// key must not exist.
 //
 // PUT /v1/kv/entry
 func (s *Server) handlePutKeyRequest(args [0]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
--- a/protocol/platformapi/oas_server_gen.go
+++ b/protocol/platformapi/oas_server_gen.go
@@ -41,8 +41,8 @@
 	PutDirectory(ctx context.Context, req []string, params PutDirectoryParams) error
 	// PutKey implements putKey operation.
 	//
-	// Writes a value when the key's revision is the expected one. Expectation 0 means the key must not
-	// exist.
+	// Writes a value when the key's revision is the expected one. An expected revision of 0 means that the
+	// key must not exist.
 	//
 	// PUT /v1/kv/entry
 	PutKey(ctx context.Context, req *PutRequest) (*PutResult, error)
