--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -60,7 +60,7 @@
 }
 
 /*
- * The platform's key-value service: create by compare-and-swap, in any order and with
+ * The platform's key-value service: create or compare-and-swap, in any order and with
  * any delay.
  */
 active proctype Store()
@@ -76,25 +76,25 @@
 	od
 }
 
-/* One request: package transport/dispatch with the claims of package transport/claim. */
+/* One request: LocalDispatcher.operate in transport/dispatch with claim.Claimer and claim.Handle. */
 proctype Sender(byte me)
 {
 	bool dispatched = false;
 	bool notRun = false; /* the caller gets run state not_run */
 	mtype got;
 
-	creating[me] = true; /* the claim is sent to the store */
+	creating[me] = true; /* Claimer.create: the claim is sent to the store */
 	if
 	:: answer[me]?got ->
 		if
 		:: got == ok -> goto claimed
 		:: got == conflict ->
 			if
-			:: claim == me -> goto claimed /* the client reads back its own nonce */
-			:: claim != me -> goto refused /* duplicate request */
+			:: claim == me -> goto claimed /* platform.Client.resolveConflict: reads back its own nonce */
+			:: claim != me -> goto refused /* Claimer.duplicateRefusal */
 			fi
 		fi
-	:: skip -> /* the response is lost, or arrives after the time limit for a claim */
+	:: skip -> /* the response is lost, or arrives after claim.claimTimeout */
 #ifdef OPEN_DISPATCHES
 		goto claimed
 #else
@@ -127,13 +127,13 @@
 		removing[me] = true;
 #endif
 		goto done
-	:: /* the backend server was not reached: run state not_run, the claim is retracted */
+	:: /* the backend server was not reached: run state not_run, Handle.Finish retracts the claim */
 		notRun = true;
 		removing[me] = true;
 		goto done
 	fi;
 
-settle: /* retraction in the background: read, remove the own claim, read again */
+settle: /* Claimer.retract in the background: read, remove the sender's own claim, read again */
 	do
 	:: claim == me -> removing[me] = true
 	:: goto done
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -5,8 +5,8 @@
  * revisions again.
  *
  * A write is identified by its nonce, which sorts after the nonce of the write that it
- * replaces (transport/platform). A position in the store is a rank: the store's
- * generation, then its revision (configwatch.Generations).
+ * replaces (newNonce in transport/platform). A position in the store is a rank: the store's
+ * generation, then its revision (configwatch.Rank, Generations.Rank).
  */
 
 // documents are ordered by rank instead of nonce:
@@ -49,8 +49,8 @@
 /* A write-back that was decided but not sent yet. */
 bool backPending; byte backKey, backNonce, backExpect;
 
-/* Ghost variables: the content of each write, and for each key the newest write that
- * the store accepted. */
+/* Ghost variables: the content of each write, and for each key the newest write that the
+ * store accepted and did not lose by a restore. clear resets accepted after a restore. */
 #define NONCES 10
 byte content[NONCES], accepted[KEYS];
 
@@ -68,7 +68,7 @@
 	if :: n > accepted[key] -> accepted[key] = n :: else fi
 }
 
-/* configwatch.DocumentSet: an older write never replaces a newer one. */
+/* configwatch.DocumentSet.accept: an older write never replaces a newer one. */
 inline accept(i, key, n, newRank) {
 	if
 #ifdef RANK_ORDER
@@ -87,7 +87,7 @@
 	fi
 }
 
-/* The instance's store watch: compares the store with the newest document in force. */
+/* storeWatch.newestLost: compares the store's write with the newest document in force. */
 inline checkRestored(i) {
 	lost = false;
 	j = 0;
@@ -100,7 +100,7 @@
 	fi
 }
 
-/* The store watch reads the changes after the cursor. */
+/* storeWatch.readChanges and storeWatch.applyChanges: read the changes after the cursor. */
 inline take(i) {
 	k = 0;
 	do
@@ -119,7 +119,7 @@
 	od
 }
 
-/* The store watch reads a new generation from the start. */
+/* storeWatch.setCursor: a new generation is read from the start. */
 inline begin(i) {
 	if
 	:: seenGeneration[i] != generation -> seenGeneration[i] = generation; cursor[i] = 0
@@ -127,7 +127,7 @@
 	fi
 }
 
-/* The repair of a restored store opens a generation above that of the documents in force. */
+/* storeWatch.repairStore: opens a generation above that of the documents in force. */
 inline openGeneration(i) {
 #ifndef NO_GENERATION
 	k = rank[i].by[0] / GENERATION;
@@ -140,7 +140,8 @@
 	skip
 }
 
-/* The repair decides to write a document back; the write is sent later, by compare-and-swap. */
+/* storeWatch.writeBackOne: decides to write a document back; the write is sent later, by
+ * compare-and-swap. */
 inline decideBack(i, key) {
 	if
 	:: !backPending && nonce[key] < inForce[i].by[key] && clock < NONCES - 1 ->
@@ -232,7 +233,7 @@
 			:: true -> skip /* not arrived yet */
 			fi
 		fi; clear() }
-	/* the platform client retries with the same nonce and resolves a conflict by reading */
+	/* platform.Client.Put retries with the same nonce and resolves a conflict by reading */
 	:: atomic { pending ->
 #ifdef BLIND_RETRY
 		write(pendingKey, pendingNonce);
--- a/spec/slots.pml
+++ b/spec/slots.pml
@@ -31,7 +31,7 @@
 byte owner = 0;
 byte list = 6; /* members 1 and 2 */
 
-/* State of the holder. */
+/* State of the holder: slot.held and slot.pending. */
 byte held[N];        /* acknowledged version; 0 for none */
 byte heldList[N];
 byte pending[N];     /* version of a write with unknown outcome; 0 for none */
@@ -41,7 +41,7 @@
 byte promises[N];    /* valid promises for the acknowledged version */
 byte newPromises[N]; /* valid promises for the pending version */
 
-/* State of a member that grants promises and consents. */
+/* State of a member that grants promises and consents: commitment. */
 bool promised[N];
 byte consented[N];
 bool dead[N];
