--- a/docs/faults_test.go
+++ b/docs/faults_test.go
@@ -19,15 +19,15 @@
 		"kill", "freeze", "cut between domains", "cut from the platform", "store outage", "slow store",
 		"lost answer", "lapsed lease", "racing operators", "stale list", "two at once",
 	}
-	testName = regexp.MustCompile("`([a-z0-9_/]+): (Test[A-Za-z0-9_]+)`")
-	proof    = regexp.MustCompile("^`[a-z0-9_/]+: Test[A-Za-z0-9_]+`(, `[a-z0-9_/]+: Test[A-Za-z0-9_]+`)*( \\([^|]+\\))?$")
-	reason   = regexp.MustCompile(`^does not apply: .+$`)
+	testName   = regexp.MustCompile("`([a-z0-9_/]+): (Test[A-Za-z0-9_]+)`")
+	testCell   = regexp.MustCompile("^`[a-z0-9_/]+: Test[A-Za-z0-9_]+`(, `[a-z0-9_/]+: Test[A-Za-z0-9_]+`)*( \\([^|]+\\))?$")
+	reasonCell = regexp.MustCompile(`^does not apply: .+$`)
 )
 
 const notProved = "not proved"
 
-// matrix parses the tables of FAULTS.md: step to fault to cell.
-func matrix(t *testing.T, page string) map[string]map[string]string {
+// parseMatrix parses the tables of FAULTS.md and returns the cells by step and fault.
+func parseMatrix(t *testing.T, page string) map[string]map[string]string {
 	t.Helper()
 	cells := make(map[string]map[string]string)
 	step := ""
@@ -48,14 +48,14 @@
 			cells[step] = make(map[string]string)
 		}
 		if cells[step][fault] != "" {
-			t.Errorf("%s, %s: there are two cells", step, fault)
+			t.Errorf("%s, %s: more than one cell", step, fault)
 		}
 		cells[step][fault] = cell
 	}
 	return cells
 }
 
-// hasTest tells whether a directory's test files define a test.
+// hasTest reports whether the test files of a directory define a test.
 func hasTest(t *testing.T, dir, name string) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", dir, "*_test.go"))
@@ -71,28 +71,28 @@
 	})
 }
 
-// The fault matrix has a cell for every step and fault, and each cell names a
-// test that exists, says "not proved", or gives a reason. A test that is renamed
-// or deleted takes its cell down with it.
+// The fault matrix has a cell for every step and fault, and each cell names existing
+// tests, says "not proved", or gives a reason why the fault does not apply. This guards
+// against cells that still name a test after it was renamed or deleted.
 func TestFaultMatrixNamesRealTests(t *testing.T) {
 	data, err := os.ReadFile("FAULTS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := string(data)
-	cells := matrix(t, page)
+	cells := parseMatrix(t, page)
 	if len(cells) != len(steps) {
 		t.Errorf("%d tables, want one for each of %v", len(cells), steps)
 	}
-	open := 0
+	unproved := 0
 	for _, step := range steps {
 		for _, fault := range faults {
 			cell := cells[step][fault]
-			if cell != notProved && !proof.MatchString(cell) && !reason.MatchString(cell) {
-				t.Errorf("%s, %s: %q names no test and gives no reason", step, fault, cell)
+			if cell != notProved && !testCell.MatchString(cell) && !reasonCell.MatchString(cell) {
+				t.Errorf("%s, %s: cell %q names no test and gives no reason", step, fault, cell)
 			}
 			if cell == notProved {
-				open++
+				unproved++
 			}
 		}
 		if len(cells[step]) != len(faults) {
@@ -101,8 +101,8 @@
 	}
 	for _, found := range testName.FindAllStringSubmatch(page, -1) {
 		if !hasTest(t, found[1], found[2]) {
-			t.Errorf("no test %s in %s", found[2], found[1])
+			t.Errorf("FAULTS.md names test %s, which does not exist in %s", found[2], found[1])
 		}
 	}
-	t.Logf("%d of %d cells are not proved", open, len(steps)*len(faults))
+	t.Logf("%d of %d cells are not proved", unproved, len(steps)*len(faults))
 }
